--- a/fleetlab/command.py
+++ b/fleetlab/command.py
@@ -222,7 +222,7 @@
     for seed in parse_seeds(seeds):
         result = run_interruptible(soak_runs.run_seed(out, seed, ingresses, seconds))
         violations += len(result.violations)
-        Console().print(soak_runs.summary(result), highlight=False, soft_wrap=True)
+        Console().print(soak_runs.format_summary(result), highlight=False, soft_wrap=True)
     if violations:
         raise click.ClickException(f"{violations} violations; see {out}")
 
@@ -232,7 +232,7 @@
 def planted(only: str) -> None:
     """Play the soak on copies of the program with known faults; each has to be found."""
     missed = 0
-    for fault, found in planted_faults.play_all(only):
+    for fault, found in planted_faults.run_all(only):
         missed += fault.rule not in found
         verdict = "found" if fault.rule in found else "MISSED"
         line = f"{verdict}: {fault.name} (seed {fault.seed}, {fault.rule}): {found}"
--- a/fleetlab/soak/addresses.py
+++ b/fleetlab/soak/addresses.py
@@ -5,7 +5,7 @@
 import os
 
 INGRESS_PORT = 8081
-MAX_INGRESSES = 250
+ADDRESSES_PER_RUN = 250
 
 
 def ingress_address(number: int) -> str:
@@ -13,7 +13,7 @@
 
     Connections that the system makes on loopback come from 127.0.0.1 and take no port there.
     """
-    if not 0 <= number < MAX_INGRESSES:
+    if not 0 <= number < ADDRESSES_PER_RUN:
         raise ValueError(f"{number} is not the number of an ingress")
-    process = os.getpid()
-    return f"127.{16 + (process >> 8) % 200}.{process % 256}.{number + 1}:{INGRESS_PORT}"
+    pid = os.getpid()
+    return f"127.{16 + (pid >> 8) % 200}.{pid % 256}.{number + 1}:{INGRESS_PORT}"
--- a/fleetlab/soak/attempt_oracles.py
+++ b/fleetlab/soak/attempt_oracles.py
@@ -9,18 +9,20 @@
 from math import sqrt
 from typing import NamedTuple
 
-from fleetlab.soak.evidence import HOLD_UP_S, SLACK_S, Evidence, Violation, may_have_run
+from fleetlab.soak.evidence import PAUSE_ALLOWANCE_S, SLACK_S, Evidence, Violation, may_have_run
 from fleetlab.soak.records import Attempt, BackendStart, Effect
 from fleetlab.soak.site import SoakSite
 
-LEFT_S = 0.1  # from a client's close to the last moment at which an attempt may begin
-TOLD_SLACK_S = 0.15  # by which the time told to a backend may exceed the client's
-FEW_REQUESTS = 30  # below which the rule on slow start allows more
-TOLD_SHARE = 2 / 3  # of a fall that the rule counts
-MEAN_WORK_S = 0.025  # of the soak's backends
+MAX_SEND_AFTER_CLOSE_S = (
+    0.1  # from a client's close to the last moment at which an attempt may begin
+)
+FORWARDED_TIMEOUT_SLACK_S = 0.15  # by which the time told to a backend may exceed the client's
+SMALL_WINDOW_REQUESTS = 30  # below which the rule on slow start allows more
+NOTIFIED_SHARE = 2 / 3  # of a fall that the rule counts
+MEAN_SERVICE_TIME_S = 0.025  # of the soak's backends
 
 
-def requests_run_as_their_class_permits(evidence: Evidence) -> Iterable[Violation]:
+def check_executions(evidence: Evidence) -> Iterable[Violation]:
     """What is not idempotent runs once and is out once; a key's repeats stay in its window."""
     requests = {request.request_id: request for request in evidence.record.requests}
     for request_id, attempts in evidence.attempts_by_request().items():
@@ -59,30 +61,32 @@
         return
     allowed_s = evidence.site.dedup_window_s + SLACK_S
     for attempt in attempts:
-        moment = (ran[0].received_at, attempt.received_at)
+        interval = (ran[0].received_at, attempt.received_at)
         after_s = attempt.received_at - ran[0].received_at
-        if not evidence.within("window_over", after_s, allowed_s, ingress, moment):
+        if not evidence.check_bound("window_over", after_s, allowed_s, ingress, interval):
             detail = f"{after_s:.3f} s after the first: {attempts}"
             yield Violation("window_over", request_id, detail)
 
 
-def nothing_is_sent_for_a_client_that_left(evidence: Evidence) -> Iterable[Violation]:
+def check_attempts_after_client_left(evidence: Evidence) -> Iterable[Violation]:
     """No attempt begins more than 0.1 s after the client has closed its connection."""
-    allowed_s = LEFT_S + SLACK_S + HOLD_UP_S
+    allowed_s = MAX_SEND_AFTER_CLOSE_S + SLACK_S + PAUSE_ALLOWANCE_S
     left = {r.request_id: r for r in evidence.record.requests if r.left_at is not None}
     for attempt in evidence.record.attempts:
         request = left.get(attempt.request_id)
         if request is None or request.left_at is None:
             continue
-        moment = (request.left_at, attempt.first_byte_at)
+        interval = (request.left_at, attempt.first_byte_at)
         after_s = attempt.first_byte_at - request.left_at
-        if not evidence.within("sent_after_leave", after_s, allowed_s, request.ingress, moment):
+        if not evidence.check_bound(
+            "sent_after_leave", after_s, allowed_s, request.ingress, interval
+        ):
             yield Violation("sent_after_leave", attempt.request_id, f"{after_s:.3f} s: {attempt}")
 
 
-def backends_are_told_the_time_left(evidence: Evidence) -> Iterable[Violation]:
+def check_forwarded_timeouts(evidence: Evidence) -> Iterable[Violation]:
     """The time that a backend is told is at most what its client has left."""
-    allowed_s = TOLD_SLACK_S + SLACK_S
+    allowed_s = FORWARDED_TIMEOUT_SLACK_S + SLACK_S
     requests = {request.request_id: request for request in evidence.record.requests}
     for attempt in evidence.record.attempts:
         request = requests.get(attempt.request_id)
@@ -90,30 +94,30 @@
             continue
         left_s = request.timeout_s - (attempt.first_byte_at - request.sent_at)
         over_s = attempt.told_timeout_s - max(left_s, 0.0)
-        moment = (request.sent_at, attempt.first_byte_at)
-        if not evidence.within("told_too_much", over_s, allowed_s, request.ingress, moment):
+        interval = (request.sent_at, attempt.first_byte_at)
+        if not evidence.check_bound("told_too_much", over_s, allowed_s, request.ingress, interval):
             detail = f"{left_s:.3f} s left: {attempt}"
             yield Violation("told_too_much", attempt.request_id, detail)
 
 
-def draining_backends_get_nothing(evidence: Evidence) -> Iterable[Violation]:
+def check_draining_backends(evidence: Evidence) -> Iterable[Violation]:
     """Nothing is sent to a backend that drains or is gone, once the grace after that is over."""
-    grace_s = evidence.site.drain_grace_s + SLACK_S + HOLD_UP_S
+    grace_s = evidence.site.drain_grace_s + SLACK_S + PAUSE_ALLOWANCE_S
     ingress_of = {request.request_id: request.ingress for request in evidence.record.requests}
     states: dict[tuple[str, str], list[tuple[float, str]]] = defaultdict(list)
     for change in sorted(evidence.record.list_changes, key=lambda change: change.at):
         states[change.ingress, change.backend].append((change.at, change.state))
     for attempt in evidence.record.attempts:
         ingress = ingress_of.get(attempt.request_id, "")
-        life = evidence.life_at(ingress, attempt.first_byte_at)
+        process = evidence.process_at(ingress, attempt.first_byte_at)
         # what the process before it was told, this one can't know while its agent can't be reached
         known = (
             []
-            if life is None
+            if process is None
             else [
                 (at, state)
                 for at, state in states[ingress, attempt.backend]
-                if at >= life.started_at
+                if at >= process.started_at
             ]
         )
         told_at, told = _last_state(known, attempt.first_byte_at)
@@ -122,8 +126,8 @@
         if "active" in (told, listed):
             continue
         after_s = attempt.first_byte_at - told_at
-        moment = (told_at, attempt.first_byte_at)
-        if not evidence.within("sent_to_draining", after_s, grace_s, ingress, moment):
+        interval = (told_at, attempt.first_byte_at)
+        if not evidence.check_bound("sent_to_draining", after_s, grace_s, ingress, interval):
             detail = f"{after_s:.3f} s after {ingress} was told {told}: {attempt}"
             yield Violation("sent_to_draining", attempt.request_id, detail)
 
@@ -135,7 +139,7 @@
     )
 
 
-def starting_backends_are_not_overloaded(evidence: Evidence) -> Iterable[Violation]:
+def check_slow_start(evidence: Evidence) -> Iterable[Violation]:
     """A starting backend gets no more in any window than the settings allow at its end.
 
     The rule is broken where over two thirds of that came from ingresses that had been told of the
@@ -147,10 +151,10 @@
         if not windows:
             continue
         most_told = max(windows, key=lambda window: window.told / window.allowed)
-        room = most_told.allowed * TOLD_SHARE
-        evidence.come_near("slow_start_room", most_told.told / room)
+        room = most_told.allowed * NOTIFIED_SHARE
+        evidence.record_bound_ratio("slow_start_room", most_told.told / room)
         fullest = _fullest_counted(windows)
-        evidence.come_near("slow_start", fullest.requests / fullest.allowed)
+        evidence.record_bound_ratio("slow_start", fullest.requests / fullest.allowed)
         if fullest.requests > fullest.allowed:
             yield Violation("slow_start", start.backend, f"{start}: {fullest}")
         elif most_told.told > room:
@@ -159,7 +163,7 @@
 
 def _fullest_counted(windows: Sequence[_StartWindow]) -> _StartWindow:
     """Return the fullest window of which over two thirds came from ingresses that were told."""
-    counted = [window for window in windows if window.told > window.requests * TOLD_SHARE]
+    counted = [window for window in windows if window.told > window.requests * NOTIFIED_SHARE]
     none = _StartWindow(0, 0, 1.0)
     return max(counted, key=lambda window: window.requests / window.allowed, default=none)
 
@@ -206,8 +210,8 @@
         if (attempt.backend, attempt.incarnation) != (start.backend, start.incarnation):
             continue
         ingress = ingress_of.get(attempt.request_id, "")
-        life = evidence.life_at(ingress, attempt.first_byte_at)
-        since = 0.0 if life is None else life.started_at
+        process = evidence.process_at(ingress, attempt.first_byte_at)
+        since = 0.0 if process is None else process.started_at
         was_told = any(since <= at <= attempt.first_byte_at for at in told_at[ingress])
         received.append((attempt.received_at, was_told))
     return received
@@ -216,6 +220,6 @@
 def _window_bound(site: SoakSite, age_s: float) -> float:
     """Return the most requests of mean work in a window that ends at this age of a backend."""
     part = min(1.0, site.initial_capacity + (1 - site.initial_capacity) * age_s / site.slow_start_s)
-    requests = part / MEAN_WORK_S * site.overload_factor * site.overload_window_s
-    more = 3 * sqrt(requests) + 3 if requests < FEW_REQUESTS else 2 * sqrt(requests) + 2
+    requests = part / MEAN_SERVICE_TIME_S * site.overload_factor * site.overload_window_s
+    more = 3 * sqrt(requests) + 3 if requests < SMALL_WINDOW_REQUESTS else 2 * sqrt(requests) + 2
     return requests + more
--- a/fleetlab/soak/backend.py
+++ b/fleetlab/soak/backend.py
@@ -19,8 +19,8 @@
     write_at_once,
 )
 
-QUEUE_FILLERS = 4  # connections that fill a listener's queue of none
-MAX_WORK_S = 0.05  # of a request that meets no fault
+BACKLOG_FILLERS = 4  # connections that fill a listener's queue of none
+MAX_SERVICE_TIME_S = 0.05  # of a request that meets no fault
 PIECE_PAUSE_S = 0.02  # between the pieces of a response in pieces
 
 
@@ -28,10 +28,12 @@
 class BackendState:
     """What a schedule may change of a backend while it runs."""
 
-    choose: Chooser
+    choose_behaviour: Chooser
     accept_delay_s: float = 0.0  # before the bytes of a new connection are read
-    idle_close_s: float = 30.0  # after which an idle connection is closed, or forgotten
-    forget_idle: bool = False  # whether idle connections are reset at their next request instead
+    idle_timeout_s: float = 30.0  # after which an idle connection is closed, or forgotten
+    idle_becomes_stale: bool = (
+        False  # whether idle connections are reset at their next request instead
+    )
 
 
 @dataclass
@@ -45,7 +47,7 @@
     incarnation: int = 0
     endpoint: str = ""
     connections: dict[_Connection, None] = field(default_factory=dict)
-    silent: bool = False  # cut off: open connections say nothing, new ones never come up
+    unreachable: bool = False  # cut off: open connections say nothing, new ones never come up
     _server: asyncio.Server | None = None
     _full_queue: list[socket.socket] = field(default_factory=list)
     _address: tuple[str, int] = ("127.0.0.1", 0)
@@ -67,7 +69,7 @@
         for connection in list(self.connections):
             connection.reset()
 
-    async def vanish(self) -> None:
+    async def become_unreachable(self) -> None:
         """Fall silent, as a machine that is cut off.
 
         On loopback no packet gets lost; but a listener whose queue is full drops new connections.
@@ -75,24 +77,24 @@
         if self._server is not None:
             self._server.close()
             self._server = None
-        self.silent = True
+        self.unreachable = True
         for connection in self.connections:
-            connection.fall_silent()
+            connection.stop_reading()
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(self._address)
         listener.listen(0)
         self._full_queue = [listener]
-        for _ in range(QUEUE_FILLERS):
+        for _ in range(BACKLOG_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             with suppress(BlockingIOError):
                 filler.connect(self._address)
             self._full_queue.append(filler)
 
-    async def reappear(self) -> None:
+    async def become_reachable(self) -> None:
         """Come back: connections from before are reset, new ones come up."""
-        self.silent = False
+        self.unreachable = False
         for sock in self._full_queue:
             sock.close()
         self._full_queue = []
@@ -142,13 +144,13 @@
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         self._idle_timer = asyncio.get_running_loop().call_later(
-            self._backend.state.idle_close_s, self._idle_too_long
+            self._backend.state.idle_timeout_s, self._idle_too_long
         )
 
     def _idle_too_long(self) -> None:
         if self._attempt is not None or self._buffer:
             return
-        if self._backend.state.forget_idle:
+        if self._backend.state.idle_becomes_stale:
             self._stale = True
         else:
             self._transport.close()
@@ -176,7 +178,7 @@
 
     def _start(self, headers: dict[bytes, bytes]) -> None:
         received_at = self._came_at()
-        behaviour = self._backend.state.choose()
+        behaviour = self._backend.state.choose_behaviour()
         self._attempt = Attempt(
             headers.get(b"request-id", b"").decode(),
             self._backend.uid,
@@ -191,19 +193,27 @@
         if behaviour is Behaviour.HANG:
             return
         random = self._backend.random
-        delay_s = random.uniform(0.5, 1.5) if behaviour in LATE else random.uniform(0.0, MAX_WORK_S)
+        delay_s = (
+            random.uniform(0.5, 1.5)
+            if behaviour in LATE
+            else random.uniform(0.0, MAX_SERVICE_TIME_S)
+        )
         asyncio.get_running_loop().call_later(delay_s, self._respond, self._attempt, behaviour)
 
     def _respond(self, attempt: Attempt, behaviour: Behaviour) -> None:
-        if attempt is not self._attempt or self._transport.is_closing() or self._backend.silent:
+        if (
+            attempt is not self._attempt
+            or self._transport.is_closing()
+            or self._backend.unreachable
+        ):
             return
         body = b"%b from %b" % (attempt.request_id.encode(), attempt.backend.encode())
         match behaviour:
             case Behaviour.RESET | Behaviour.LATE_RESET:
-                self._conclude(attempt, AttemptResult.SPOILT)
+                self._conclude(attempt, AttemptResult.INVALID)
                 self.reset()
             case Behaviour.NOISE:
-                self._conclude(attempt, AttemptResult.SPOILT)
+                self._conclude(attempt, AttemptResult.INVALID)
                 self._transport.write(b"\x00\xffnoise that is no response\r\n\r\n")
             case Behaviour.ERROR:
                 self._conclude(attempt, AttemptResult.ERROR)
@@ -214,7 +224,7 @@
                     b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
                 )
             case Behaviour.TRUNCATED:
-                self._conclude(attempt, AttemptResult.SPOILT)
+                self._conclude(attempt, AttemptResult.INVALID)
                 length = len(body) + 10
                 self._transport.write(
                     b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (length, body)
@@ -245,11 +255,15 @@
             loop.call_later(PIECE_PAUSE_S, self._write_last, attempt, body[half:], True)
         else:
             self._transport.write(b"HTTP/1.1 200 OK\r\n\r\n" + body[:half])
-            self._conclude(attempt, AttemptResult.SPOILT)
+            self._conclude(attempt, AttemptResult.INVALID)
             loop.call_later(PIECE_PAUSE_S, self.reset)
 
     def _write_last(self, attempt: Attempt, data: bytes, close: bool) -> None:
-        if attempt is not self._attempt or self._transport.is_closing() or self._backend.silent:
+        if (
+            attempt is not self._attempt
+            or self._transport.is_closing()
+            or self._backend.unreachable
+        ):
             return
         write_at_once(self._transport, data, end=close)
         self._conclude(attempt, AttemptResult.SERVED)
@@ -262,7 +276,7 @@
         self._attempt = None
         self._rest()
 
-    def fall_silent(self) -> None:
+    def stop_reading(self) -> None:
         """Read and write nothing more."""
         if self._attempt is not None:
             self._attempt.unobserved = True
--- a/fleetlab/soak/client.py
+++ b/fleetlab/soak/client.py
@@ -12,8 +12,8 @@
 from fleetlab.soak.records import ClientRequest, Effect
 from fleetlab.stand_in import reset_connection, split_address
 
-LATE_S = 0.5  # after its time a response only earns nothing; later it is lost
-WATCH_S = 3.0  # for which a client waits on: when a lost response comes tells why
+MAX_LATENESS_S = 0.5  # after its time a response only earns nothing; later it is lost
+EXTRA_WAIT_S = 3.0  # for which a client waits on: when a lost response comes tells why
 CONNECT_TIMEOUT_S = 2.0
 MAX_EXTRA_BYTES = 4096
 _HEAD_END = b"\r\n\r\n"
@@ -127,7 +127,7 @@
         """Read the response to a request until long after its time."""
         assert record.sent_at is not None
         try:
-            async with asyncio.timeout(record.timeout_s + LATE_S + WATCH_S):
+            async with asyncio.timeout(record.timeout_s + MAX_LATENESS_S + EXTRA_WAIT_S):
                 head = await self._reader.readuntil(_HEAD_END)
                 record.received_bytes = len(head)
                 body = await self._reader.readexactly(_content_length(head))
--- a/fleetlab/soak/endpoint_list.py
+++ b/fleetlab/soak/endpoint_list.py
@@ -76,7 +76,7 @@
             for writer in list(self._writers):
                 reset_connection(cast(asyncio.Transport, writer.transport))
 
-    def close_soon(self) -> None:
+    def schedule_stop(self) -> None:
         """Close the port and all connections in the next turns of the loop."""
         self._closing = asyncio.ensure_future(self.stop())
 
--- a/fleetlab/soak/evidence.py
+++ b/fleetlab/soak/evidence.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from fleetlab.soak.records import Attempt, AttemptResult, Life, RunRecord
+from fleetlab.soak.records import Attempt, AttemptResult, ProcessRecord, RunRecord
 from fleetlab.soak.site import SoakSite
 
 SLACK_S = 0.05  # of the rules on sockets
-HOLD_UP_S = 0.15  # for which an ingress may be held up
-EXCUSING_S = 1.0  # before the end of an event: waits in it may have held the event up
-FAR_BEYOND = 100.0  # of a bound: also for what never came
+PAUSE_ALLOWANCE_S = 0.15  # for which an ingress may be held up
+EXCUSED_WAIT_WINDOW_S = 1.0  # before the end of an event: waits in it may have held the event up
+MAX_BOUND_RATIO = 100.0  # of a bound: also for what never came
 
 _ACCEPTED = re.compile(r"request accepted: subject=([0-9a-f]{16}) ")
 
@@ -49,7 +49,7 @@
         logs: the log of each ingress, over all its lives.
         crowd: whether idle clients filled the descriptors: new connections may be closed unread.
         soak_pid: the process id of the soak, in the record's waits.
-        closest: how near each rule was come, as a part of its bound; filled by `within`.
+        bound_ratios: how near each rule was come, as a part of its bound; filled by `check_bound`.
         excused: how many events were beyond a bound by less than a process waited meanwhile.
     """
 
@@ -58,11 +58,11 @@
     logs: dict[str, str]
     crowd: bool = False
     soak_pid: int = 0
-    closest: dict[str, float] = field(default_factory=dict)
+    bound_ratios: dict[str, float] = field(default_factory=dict)
     excused: Counter[str] = field(default_factory=Counter)
 
-    def within(
-        self, rule: str, value_s: float, bound_s: float, ingress: str, moment: tuple[float, float]
+    def check_bound(
+        self, rule: str, value_s: float, bound_s: float, ingress: str, interval: tuple[float, float]
     ) -> bool:
         """Return whether an event keeps its bound, and remember how near it came.
 
@@ -70,20 +70,20 @@
         in the last second alone: what they did before that was not held up by it.
         """
         if value_s > bound_s:
-            begin, end = moment
-            waited_s = self.waited_s(ingress, max(begin, end - EXCUSING_S), end)
+            begin, end = interval
+            waited_s = self.waited_s(ingress, max(begin, end - EXCUSED_WAIT_WINDOW_S), end)
             self.excused[rule] += bound_s < value_s <= bound_s + waited_s
             bound_s += waited_s
-        self.come_near(rule, value_s / bound_s)
+        self.record_bound_ratio(rule, value_s / bound_s)
         return value_s <= bound_s
 
-    def come_near(self, rule: str, part: float) -> None:
+    def record_bound_ratio(self, rule: str, part: float) -> None:
         """Remember that a rule was come so near, as a part of its bound."""
-        self.closest[rule] = max(min(part, FAR_BEYOND), self.closest.get(rule, 0.0))
+        self.bound_ratios[rule] = max(min(part, MAX_BOUND_RATIO), self.bound_ratios.get(rule, 0.0))
 
     def waited_s(self, ingress: str, begin: float, end: float) -> float:
         """Return for how long an ingress and the soak itself waited between two times."""
-        pids = {life.pid for life in self.record.lives if life.ingress == ingress}
+        pids = {process.pid for process in self.record.lives if process.ingress == ingress}
         return sum(
             wait.waited_s
             for wait in self.record.waits
@@ -92,7 +92,7 @@
             and wait.ended_at >= begin
         )
 
-    def paths_broke(self, ingress: str, begin: float, end: float) -> bool:
+    def had_broken_connections(self, ingress: str, begin: float, end: float) -> bool:
         """Return whether connections that an ingress had made broke between two times."""
         return any(
             broken.ingress == ingress and broken.began_at <= end and begin <= broken.ended_at
@@ -103,19 +103,19 @@
         """Return the ids of the requests that the ingresses have read and taken."""
         return {match for text in self.logs.values() for match in _ACCEPTED.findall(text)}
 
-    def life_at(self, ingress: str, at: float) -> Life | None:
+    def process_at(self, ingress: str, at: float) -> ProcessRecord | None:
         """Return the process that an ingress had at a time."""
-        for life in self.record.lives:
-            ended_at = life.ended_at if life.ended_at is not None else float("inf")
-            if life.ingress == ingress and life.started_at <= at <= ended_at:
-                return life
+        for process in self.record.lives:
+            ended_at = process.ended_at if process.ended_at is not None else float("inf")
+            if process.ingress == ingress and process.started_at <= at <= ended_at:
+                return process
         return None
 
-    def has_drained(self, life: Life) -> bool:
+    def has_drained(self, process: ProcessRecord) -> bool:
         """Return whether a process has logged the end of its drain."""
-        lives = [known for known in self.record.lives if known.ingress == life.ingress]
-        logs = self.logs.get(life.ingress, "").split("serving: name=")[1:]
-        index = lives.index(life)
+        processes = [known for known in self.record.lives if known.ingress == process.ingress]
+        logs = self.logs.get(process.ingress, "").split("serving: name=")[1:]
+        index = processes.index(process)
         return index < len(logs) and "drain finished" in logs[index]
 
     def attempts_by_request(self) -> dict[str, list[Attempt]]:
@@ -129,9 +129,9 @@
 Oracle = Callable[[Evidence], Iterable[Violation]]
 
 
-def first_warning(life: Life) -> float | None:
+def first_termination_signal_at(process: ProcessRecord) -> float | None:
     """Return when a process was first told to end."""
-    warnings = (life.signalled_at("SIGTERM"), life.signalled_at("SIGINT"))
+    warnings = (process.signalled_at("SIGTERM"), process.signalled_at("SIGINT"))
     return min((at for at in warnings if at is not None), default=None)
 
 
--- a/fleetlab/soak/faults.py
+++ b/fleetlab/soak/faults.py
@@ -23,14 +23,14 @@
 from fleetlab.soak.endpoint_list import AgentFault, SharedList, SoakAgent
 from fleetlab.soak.ingress_process import IngressProcess
 from fleetlab.soak.population import Population
-from fleetlab.soak.records import BackendStart, BrokenPaths, RunRecord
+from fleetlab.soak.records import BackendStart, BrokenConnectionPeriod, RunRecord
 from fleetlab.soak.schedule import FaultKind, PlannedFault
 from fleetlab.soak.site import SoakSite
 from fleetlab.system_faults.control import SystemFault
 
-OLD_AGENT_CLOSES_S = 1.5  # after SIGHUP
+OLD_AGENT_CLOSE_DELAY_S = 1.5  # after SIGHUP
 CROWD_SIZE = 60
-FORGET_IDLE_S = 0.1  # after which idle connections are forgotten
+STALE_AFTER_S = 0.1  # after which idle connections are forgotten
 
 _COUNTER_FAULTS = {
     FaultKind.COUNTER_DELAYED: PathFault.DELAYED,
@@ -78,7 +78,7 @@
     record: RunRecord
     random: Random
     counter_path: PathProxy | None = None
-    busy_backends: set[int] = field(default_factory=set)  # that are away, or about to be
+    disrupted_backends: set[int] = field(default_factory=set)  # that are away, or about to be
 
     async def run(self, faults: tuple[PlannedFault, ...], started_at: float) -> None:
         """Carry out all faults, each at its time; return when the last one is over."""
@@ -113,7 +113,7 @@
             case FaultKind.PAUSE:
                 await node.process.pause(fault.seconds)
             case FaultKind.CROWD:
-                await node.population.run_crowd(CROWD_SIZE, fault.seconds)
+                await node.population.open_idle_connections(CROWD_SIZE, fault.seconds)
             case FaultKind.RESTART:
                 async with node.lock:
                     await self._signal(node.process, fault)
@@ -156,7 +156,7 @@
             node.process.config["discovery"] = node.agent.address
             node.process.write_config()
             node.process.send_signal(signal.Signals[name])
-            asyncio.get_running_loop().call_later(OLD_AGENT_CLOSES_S, old.close_soon)
+            asyncio.get_running_loop().call_later(OLD_AGENT_CLOSE_DELAY_S, old.schedule_stop)
             await asyncio.sleep(fault.gap_s)
 
     async def _system_fault(self, process: IngressProcess, fault: PlannedFault) -> None:
@@ -166,7 +166,7 @@
         await asyncio.sleep(fault.seconds)
         process.system_faults.set_probability(failing, 0.0)
         if failing is SystemFault.BROKEN_CONNECTION:
-            broken = BrokenPaths(process.name, began_at, time.monotonic())
+            broken = BrokenConnectionPeriod(process.name, began_at, time.monotonic())
             self.record.broken_paths.append(broken)
 
     # ---- discovery
@@ -198,36 +198,36 @@
                 chooser = weighted(self.random, UNBOUNDED_WEIGHTS)
                 await self._behave(backend, chooser, fault.seconds)
             case FaultKind.BACKEND_FORGETS:
-                backend.state.idle_close_s, before = FORGET_IDLE_S, backend.state.idle_close_s
-                backend.state.forget_idle = True
+                backend.state.idle_timeout_s, before = STALE_AFTER_S, backend.state.idle_timeout_s
+                backend.state.idle_becomes_stale = True
                 await asyncio.sleep(fault.seconds)
-                backend.state.idle_close_s = before
-                backend.state.forget_idle = False
+                backend.state.idle_timeout_s = before
+                backend.state.idle_becomes_stale = False
             case _:
                 await self._take_away(backend, fault)
 
     async def _behave(self, backend: SoakBackend, chooser: Chooser, seconds: float) -> None:
-        backend.state.choose = chooser
+        backend.state.choose_behaviour = chooser
         await asyncio.sleep(seconds)
-        backend.state.choose = weighted(self.random, NORMAL_WEIGHTS)
+        backend.state.choose_behaviour = weighted(self.random, NORMAL_WEIGHTS)
 
     async def _take_away(self, backend: SoakBackend, fault: PlannedFault) -> None:
         """Let a backend crash, vanish or drain, unless it is away already."""
-        if fault.target in self.busy_backends:
+        if fault.target in self.disrupted_backends:
             return
-        self.busy_backends.add(fault.target)
+        self.disrupted_backends.add(fault.target)
         match fault.kind:
             case FaultKind.BACKEND_CRASHES:
                 await backend.crash()
                 await asyncio.sleep(fault.seconds / 2)
                 await backend.restart()
             case FaultKind.BACKEND_UNREACHABLE:
-                await backend.vanish()
+                await backend.become_unreachable()
                 await asyncio.sleep(fault.seconds)
-                await backend.reappear()
+                await backend.become_reachable()
             case FaultKind.BACKEND_DRAINS:
                 await self._replace(backend, fault)
-        self.busy_backends.discard(fault.target)
+        self.disrupted_backends.discard(fault.target)
 
     async def _replace(self, backend: SoakBackend, fault: PlannedFault) -> None:
         """Drain a backend, remove it, and start it anew."""
--- a/fleetlab/soak/ingress_process.py
+++ b/fleetlab/soak/ingress_process.py
@@ -10,10 +10,10 @@
 import time
 from pathlib import Path
 
-from fleetlab.soak.records import Life
+from fleetlab.soak.records import ProcessRecord
 from fleetlab.stand_in import split_address
 from fleetlab.system_faults.control import SystemFaults
-from fleetlab.system_faults.library import environment
+from fleetlab.system_faults.library import library_environment
 from fleetlab.versioned_list import JsonObject
 
 READY_TIMEOUT_S = 30.0
@@ -30,7 +30,7 @@
         address: host and port where it serves clients.
         config: its configuration file, as parsed JSON; written at each start and reload.
         log_path: where all its lives write their log.
-        lives: its processes so far, the present one last.
+        process_records: its processes so far, the present one last.
         system_faults: which of its system calls fail; none do unless a fault says so.
     """
 
@@ -47,18 +47,18 @@
         self.address = address
         self.config = config | {"name": name, "listen": address}
         self.log_path = folder / f"{name}.log"
-        self.lives: list[Life] = []
+        self.process_records: list[ProcessRecord] = []
         self.system_faults = SystemFaults(folder / f"{name}.faults")
         self._environment = {"RELAY_CONFIG": str(folder / f"{name}.json")}
         if library is not None:
-            self._environment |= environment(library, self.system_faults)
+            self._environment |= library_environment(library, self.system_faults)
         self._config_path = folder / f"{name}.json"
         self._process: asyncio.subprocess.Process | None = None
 
     @property
-    def life(self) -> Life:
+    def process_record(self) -> ProcessRecord:
         """The present process, or the last one."""
-        return self.lives[-1]
+        return self.process_records[-1]
 
     @property
     def running(self) -> bool:
@@ -85,21 +85,21 @@
                 env=os.environ | self._environment,
                 start_new_session=True,  # an interrupt at the terminal is the soak's to handle
             )
-        self.lives.append(Life(self.name, self._process.pid, time.monotonic()))
+        self.process_records.append(ProcessRecord(self.name, self._process.pid, time.monotonic()))
         await self._wait_until_ready()
 
     async def _wait_until_ready(self) -> None:
-        life = self.life
+        process_record = self.process_record
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not await is_healthy(self.address):
                 if not self.running:
                     raise RuntimeError(f"{self.name} ended before it was ready: {self.log_tail()}")
                 await asyncio.sleep(READY_POLL_S)
-        await self._log_events()
-        life.descriptors_at_start = self.open_descriptors()
-        life.ready_at = time.monotonic()
+        await self._enable_event_log()
+        process_record.descriptors_at_start = self.open_descriptors()
+        process_record.ready_at = time.monotonic()
 
-    async def _log_events(self) -> None:
+    async def _enable_event_log(self) -> None:
         """Let the process log each event as it comes: the oracles read which requests it took."""
         began = len(self.log_text())
         self.send_signal(signal.SIGUSR2)
@@ -110,14 +110,14 @@
     def open_descriptors(self) -> int:
         """Return how many descriptors the process has open; 0 if it has ended."""
         try:
-            return len(os.listdir(f"/proc/{self.life.pid}/fd"))
+            return len(os.listdir(f"/proc/{self.process_record.pid}/fd"))
         except OSError:
             return 0
 
     def send_signal(self, signum: signal.Signals) -> None:
         """Send a signal to the process if it still runs, and record it."""
         if self._process is not None and self.running:
-            self.life.signals.append((signum.name, time.monotonic()))
+            self.process_record.signals.append((signum.name, time.monotonic()))
             self._process.send_signal(signum)
 
     async def pause(self, seconds: float) -> None:
@@ -136,9 +136,9 @@
                 exit_code = await self._process.wait()
         except TimeoutError:
             return False
-        if self.life.ended_at is None:
-            self.life.ended_at = time.monotonic()
-            self.life.exit_code = exit_code
+        if self.process_record.ended_at is None:
+            self.process_record.ended_at = time.monotonic()
+            self.process_record.exit_code = exit_code
         return True
 
     async def terminate(self, kill_after_s: float) -> None:
--- a/fleetlab/soak/oracles.py
+++ b/fleetlab/soak/oracles.py
@@ -3,45 +3,45 @@
 from __future__ import annotations
 
 from fleetlab.soak.attempt_oracles import (
-    backends_are_told_the_time_left,
-    draining_backends_get_nothing,
-    nothing_is_sent_for_a_client_that_left,
-    requests_run_as_their_class_permits,
-    starting_backends_are_not_overloaded,
+    check_attempts_after_client_left,
+    check_draining_backends,
+    check_executions,
+    check_forwarded_timeouts,
+    check_slow_start,
 )
 from fleetlab.soak.evidence import Evidence, Oracle, Violation
 from fleetlab.soak.process_oracles import (
-    descriptors_return,
-    logs_show_no_fault,
-    processes_end_well,
+    check_descriptors,
+    check_logs,
+    check_process_exits,
 )
 from fleetlab.soak.request_oracles import (
-    bad_clients_get_an_error_or_a_close,
-    complete_unbounded_responses_are_forwarded,
-    no_request_is_lost,
-    refusals_are_harmless,
-    requests_are_answered_once,
-    responses_are_those_of_a_backend,
+    check_bad_clients,
+    check_extra_responses,
+    check_lost_requests,
+    check_rejections,
+    check_response_bodies,
+    check_unbounded_responses,
 )
 
 ORACLES: tuple[Oracle, ...] = (
-    no_request_is_lost,
-    responses_are_those_of_a_backend,
-    refusals_are_harmless,
-    requests_are_answered_once,
-    requests_run_as_their_class_permits,
-    nothing_is_sent_for_a_client_that_left,
-    backends_are_told_the_time_left,
-    draining_backends_get_nothing,
-    starting_backends_are_not_overloaded,
-    bad_clients_get_an_error_or_a_close,
-    complete_unbounded_responses_are_forwarded,
-    processes_end_well,
-    descriptors_return,
-    logs_show_no_fault,
+    check_lost_requests,
+    check_response_bodies,
+    check_rejections,
+    check_extra_responses,
+    check_executions,
+    check_attempts_after_client_left,
+    check_forwarded_timeouts,
+    check_draining_backends,
+    check_slow_start,
+    check_bad_clients,
+    check_unbounded_responses,
+    check_process_exits,
+    check_descriptors,
+    check_logs,
 )
 
 
-def judge(evidence: Evidence) -> list[Violation]:
+def find_violations(evidence: Evidence) -> list[Violation]:
     """Return all violations of a run."""
     return [violation for oracle in ORACLES for violation in oracle(evidence)]
--- a/fleetlab/soak/planted_faults.py
+++ b/fleetlab/soak/planted_faults.py
@@ -74,7 +74,7 @@
         path.write_text(text.replace(edit.old, edit.new))
 
 
-def play_planted(fault: PlantedFault) -> SoakResult:
+def run_planted(fault: PlantedFault) -> SoakResult:
     """Run the soak on a copy of the program with a fault, and return what it found."""
     with tempfile.TemporaryDirectory(prefix="planted-") as name:
         folder = Path(name)
@@ -94,11 +94,11 @@
         return msgspec.json.decode(line, type=SoakResult)
 
 
-def play_all(name: str = "") -> Iterator[tuple[PlantedFault, dict[str, int]]]:
+def run_all(name: str = "") -> Iterator[tuple[PlantedFault, dict[str, int]]]:
     """Play each fault whose name contains a text; yield it and how often each rule was broken."""
     for fault in read_planted_faults():
         if name in fault.name:
             found: dict[str, int] = {}
-            for violation in play_planted(fault).violations:
+            for violation in run_planted(fault).violations:
                 found[violation.rule] = found.get(violation.rule, 0) + 1
             yield fault, found
--- a/fleetlab/soak/population.py
+++ b/fleetlab/soak/population.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mix:
+class ClientMix:
     """How often clients do what; chances of one request."""
 
     leave: float = 0.08
@@ -41,7 +41,12 @@
     """The clients of one ingress."""
 
     def __init__(
-        self, site: SoakSite, process: IngressProcess, random: Random, record: RunRecord, mix: Mix
+        self,
+        site: SoakSite,
+        process: IngressProcess,
+        random: Random,
+        record: RunRecord,
+        mix: ClientMix,
     ) -> None:
         self._site = site
         self._process = process
@@ -69,10 +74,10 @@
 
     async def _connect(self) -> ClientConnection | None:
         """Connect if the front would still lead clients to the ingress."""
-        life = self._process.life
-        told_to_end = life.signalled_at("SIGTERM")
+        process_record = self._process.process_record
+        told_to_end = process_record.signalled_at("SIGTERM")
         since_s = 0.0 if told_to_end is None else time.monotonic() - told_to_end
-        if not self._process.running or life.ready_at is None or since_s > LATE_CONNECT_S:
+        if not self._process.running or process_record.ready_at is None or since_s > LATE_CONNECT_S:
             return None
         try:
             return await ClientConnection.connect(
@@ -215,9 +220,11 @@
             writer.close()
 
     async def _connect_allowed(self) -> bool:
-        return self._process.running and self._process.life.signalled_at("SIGTERM") is None
+        return (
+            self._process.running and self._process.process_record.signalled_at("SIGTERM") is None
+        )
 
-    async def run_crowd(self, size: int, seconds: float) -> None:
+    async def open_idle_connections(self, size: int, seconds: float) -> None:
         """Open so many connections that say nothing, and close them after a time."""
         writers = []
         try:
--- a/fleetlab/soak/records.py
+++ b/fleetlab/soak/records.py
@@ -79,7 +79,7 @@
     SERVED = "served"
     ERROR = "error"
     NOT_STARTED = "not_started"  # with the promise that it has not run
-    SPOILT = "spoilt"  # a response that no client may get
+    INVALID = "spoilt"  # a response that no client may get
     ABANDONED = "abandoned"  # the ingress ended the connection
 
 
@@ -115,7 +115,7 @@
     unobserved: bool = False
 
 
-class Life(msgspec.Struct):
+class ProcessRecord(msgspec.Struct):
     """One process of an ingress, from its start to its end.
 
     Attributes:
@@ -191,7 +191,7 @@
     waited_s: float
 
 
-class BrokenPaths(msgspec.Struct):
+class BrokenConnectionPeriod(msgspec.Struct):
     """A time in which connections that an ingress has made may break at any moment.
 
     Attributes:
@@ -211,10 +211,10 @@
     requests: list[ClientRequest] = []
     bad_clients: list[BadClient] = []
     attempts: list[Attempt] = []
-    lives: list[Life] = []
+    lives: list[ProcessRecord] = []
     list_changes: list[ListChange] = []
     backend_starts: list[BackendStart] = []
     faults: dict[str, int] = {}
     waits: list[ProcessWait] = []
-    broken_paths: list[BrokenPaths] = []
+    broken_paths: list[BrokenConnectionPeriod] = []
     backend_connections_at_rest: int = 0
--- a/fleetlab/soak/request_oracles.py
+++ b/fleetlab/soak/request_oracles.py
@@ -5,24 +5,24 @@
 from collections.abc import Iterable
 
 from fleetlab.http_connection import HTTP_OK
-from fleetlab.soak.client import LATE_S
+from fleetlab.soak.client import MAX_LATENESS_S
 from fleetlab.soak.evidence import (
-    HOLD_UP_S,
+    PAUSE_ALLOWANCE_S,
     SLACK_S,
     Evidence,
     Violation,
-    first_warning,
+    first_termination_signal_at,
     may_have_run,
 )
 from fleetlab.soak.population import BAD_CLIENT_DEADLINE_S
-from fleetlab.soak.records import AttemptResult, ClientRequest, Effect, Life
-from fleetlab.soak.site import GRACE_S
+from fleetlab.soak.records import AttemptResult, ClientRequest, Effect, ProcessRecord
+from fleetlab.soak.site import SIGKILL_GRACE_S
 
-CROSSING_S = 0.02  # from a conclusion to its client, or from a backend to the ingress
-MIN_REST_S = 1.0  # after which a silent new connection may be closed
+TRANSIT_S = 0.02  # from a conclusion to its client, or from a backend to the ingress
+MIN_IDLE_CLOSE_S = 1.0  # after which a silent new connection may be closed
 
 
-def no_request_is_lost(evidence: Evidence) -> Iterable[Violation]:
+def check_lost_requests(evidence: Evidence) -> Iterable[Violation]:
     """Each request that an ingress has taken gets a whole response in time.
 
     Excused: its client left, or its process was killed without a warning, or by a SIGKILL that came
@@ -36,55 +36,64 @@
             continue
         if request.answered_at is not None:
             late_s = request.answered_at - request.sent_at - request.timeout_s
-            moment = (request.sent_at, request.answered_at)
-            if not evidence.within("late", late_s, LATE_S + SLACK_S, request.ingress, moment):
+            interval = (request.sent_at, request.answered_at)
+            if not evidence.check_bound(
+                "late", late_s, MAX_LATENESS_S + SLACK_S, request.ingress, interval
+            ):
                 yield _lost(request, f"answered {late_s:.3f} s after its time")
             continue
-        life = evidence.life_at(request.ingress, request.sent_at)
-        if life is None or _killed_without_warning(life, request):
+        process = evidence.process_at(request.ingress, request.sent_at)
+        if process is None or _killed_without_warning(process, request):
             continue
         taken = request.request_id in accepted or request.request_id in forwarded
         if taken:
             yield _lost(request, "taken, and never answered whole")
         elif request.ended_at is None:
             yield _lost(request, "neither answered nor closed")
-        elif _open_at_sigkill(life, request):
+        elif _open_at_sigkill(process, request):
             yield _lost(request, "unanswered at SIGKILL, on a connection still open")
-        elif _closed_unused(request) and not (evidence.crowd or _draining(life, request)):
+        elif _closed_unused(request) and not (evidence.crowd or _draining(process, request)):
             yield _lost(request, "a new connection was closed with no response")
 
 
 def _closed_unused(request: ClientRequest) -> bool:
     """Return whether a connection was closed before it can have been taken for one at rest."""
-    return request.first_on_connection and request.rested_s < MIN_REST_S
+    return request.first_on_connection and request.rested_s < MIN_IDLE_CLOSE_S
 
 
 def _lost(request: ClientRequest, how: str) -> Violation:
     return Violation("lost", request.request_id, f"to {request.ingress}: {how}: {request}")
 
 
-def _killed_without_warning(life: Life, request: ClientRequest) -> bool:
-    killed_at = life.signalled_at("SIGKILL")
-    warned_at = first_warning(life)
+def _killed_without_warning(process: ProcessRecord, request: ClientRequest) -> bool:
+    killed_at = process.signalled_at("SIGKILL")
+    terminated_at = first_termination_signal_at(process)
     if killed_at is None:
         return False
     ended_at = request.ended_at if request.ended_at is not None else killed_at
-    return warned_at is None and ended_at >= killed_at - SLACK_S
+    return terminated_at is None and ended_at >= killed_at - SLACK_S
 
 
-def _open_at_sigkill(life: Life, request: ClientRequest) -> bool:
-    killed_at = life.signalled_at("SIGKILL")
+def _open_at_sigkill(process: ProcessRecord, request: ClientRequest) -> bool:
+    killed_at = process.signalled_at("SIGKILL")
     if killed_at is None or request.ended_at is None or request.sent_at is None:
         return False
-    return request.ended_at >= killed_at and request.sent_at > (first_warning(life) or 0) + GRACE_S
+    return (
+        request.ended_at >= killed_at
+        and request.sent_at > (first_termination_signal_at(process) or 0) + SIGKILL_GRACE_S
+    )
 
 
-def _draining(life: Life, request: ClientRequest) -> bool:
-    warned_at = first_warning(life)
-    return warned_at is not None and request.ended_at is not None and request.ended_at > warned_at
+def _draining(process: ProcessRecord, request: ClientRequest) -> bool:
+    terminated_at = first_termination_signal_at(process)
+    return (
+        terminated_at is not None
+        and request.ended_at is not None
+        and request.ended_at > terminated_at
+    )
 
 
-def responses_are_those_of_a_backend(evidence: Evidence) -> Iterable[Violation]:
+def check_response_bodies(evidence: Evidence) -> Iterable[Violation]:
     """A response of 200 has the body that a backend has made for this very request."""
     forwarded = evidence.attempts_by_request()
     for request in evidence.record.requests:
@@ -99,14 +108,14 @@
             yield Violation("served_unmade", request.request_id, f"{request.body!r}, made: {made}")
 
 
-def requests_are_answered_once(evidence: Evidence) -> Iterable[Violation]:
+def check_extra_responses(evidence: Evidence) -> Iterable[Violation]:
     """Nothing comes on a connection after the last response that it owes."""
     for request in evidence.record.requests:
         if request.extra_bytes:
             yield Violation("answered_twice", request.request_id, str(request))
 
 
-def refusals_are_harmless(evidence: Evidence) -> Iterable[Violation]:
+def check_rejections(evidence: Evidence) -> Iterable[Violation]:
     """A request that is not idempotent is rejected only where no attempt of it may have run."""
     forwarded = evidence.attempts_by_request()
     for request in evidence.record.requests:
@@ -117,19 +126,21 @@
             yield Violation("rejected_after_run", request.request_id, f"{request}: {ran}")
 
 
-def bad_clients_get_an_error_or_a_close(evidence: Evidence) -> Iterable[Violation]:
+def check_bad_clients(evidence: Evidence) -> Iterable[Violation]:
     """A client that sends no valid request is not left waiting."""
-    allowed_s = BAD_CLIENT_DEADLINE_S + SLACK_S + HOLD_UP_S
+    allowed_s = BAD_CLIENT_DEADLINE_S + SLACK_S + PAUSE_ALLOWANCE_S
     for client in evidence.record.bad_clients:
         waited_s = float("inf")
         if client.concluded_at is not None:
             waited_s = client.concluded_at - client.sent_at
-        moment = (client.sent_at, client.sent_at + waited_s)
-        if not evidence.within("bad_client_waits", waited_s, allowed_s, client.ingress, moment):
+        interval = (client.sent_at, client.sent_at + waited_s)
+        if not evidence.check_bound(
+            "bad_client_waits", waited_s, allowed_s, client.ingress, interval
+        ):
             yield Violation("bad_client_waits", client.ingress, f"{waited_s:.3f} s: {client}")
 
 
-def complete_unbounded_responses_are_forwarded(evidence: Evidence) -> Iterable[Violation]:
+def check_unbounded_responses(evidence: Evidence) -> Iterable[Violation]:
     """A response without a length that comes whole reaches its client.
 
     Excused: the request was concluded before, by another attempt or at its deadline, which the
@@ -146,11 +157,15 @@
         assert request.answered_at is not None
         assert request.sent_at is not None
         ended_at = request.answered_at if attempt.ended_at is None else attempt.ended_at
-        if ended_at > request.sent_at + request.timeout_s - CROSSING_S:
+        if ended_at > request.sent_at + request.timeout_s - TRANSIT_S:
             continue
-        if evidence.paths_broke(request.ingress, attempt.received_at, request.answered_at):
+        if evidence.had_broken_connections(
+            request.ingress, attempt.received_at, request.answered_at
+        ):
             continue
         earlier_s = request.answered_at - ended_at
-        moment = (ended_at, request.answered_at)
-        if not evidence.within("unbounded_kept", earlier_s, CROSSING_S, request.ingress, moment):
+        interval = (ended_at, request.answered_at)
+        if not evidence.check_bound(
+            "unbounded_kept", earlier_s, TRANSIT_S, request.ingress, interval
+        ):
             yield Violation("unbounded_kept", attempt.request_id, f"{attempt}: {request}")
--- a/fleetlab/soak/run.py
+++ b/fleetlab/soak/run.py
@@ -23,8 +23,8 @@
 from fleetlab.soak.evidence import Evidence, Violation
 from fleetlab.soak.faults import FaultInjector, Node
 from fleetlab.soak.ingress_process import IngressProcess
-from fleetlab.soak.oracles import judge
-from fleetlab.soak.population import Mix, Population
+from fleetlab.soak.oracles import find_violations
+from fleetlab.soak.population import ClientMix, Population
 from fleetlab.soak.records import RunRecord
 from fleetlab.soak.schedule import SYSTEM_FAULT_KINDS, SoakPlan
 from fleetlab.soak.wait_monitor import WaitMonitor
@@ -88,7 +88,7 @@
         self._counter_path: PathProxy | None = None
         self._shared: SharedList
 
-    async def play(self) -> Evidence:
+    async def run(self) -> Evidence:
         """Play the plan; everything that was started has ended afterwards."""
         async with AsyncExitStack() as resources:
             await self._start_backends(resources)
@@ -97,7 +97,7 @@
             await self._load()
         self._record.list_changes += self._shared.changes
         for node in self._nodes:
-            self._record.lives += node.process.lives
+            self._record.lives += node.process.process_records
             self._count_failed_calls(node.process.system_faults)
             self._record.list_changes += [told for agent in node.agents for told in agent.told]
         logs = {node.process.name: node.process.log_text() for node in self._nodes}
@@ -110,7 +110,7 @@
                 self._record.faults[name] = self._record.faults.get(name, 0) + count
 
     def _pids(self) -> list[int]:
-        return [node.process.life.pid for node in self._nodes if node.process.running]
+        return [node.process.process_record.pid for node in self._nodes if node.process.running]
 
     async def _start_backends(self, resources: AsyncExitStack) -> None:
         for _ in range(self._plan.backends):
@@ -157,7 +157,7 @@
             for fault in self._plan.faults:
                 if fault.before_start and fault.target == number:
                     process.system_faults.step_clock(fault.seconds)
-            population = Population(self._site, process, self._random, self._record, Mix())
+            population = Population(self._site, process, self._random, self._record, ClientMix())
             node = Node(process, agent, population, [agent])
             resources.push_async_callback(self._stop_node, node)
             self._nodes.append(node)
@@ -196,7 +196,7 @@
             later = tuple(fault for fault in self._plan.faults if not fault.before_start)
             await injector.run(later, started_at)
             await asyncio.sleep(max(0.0, started_at + self._plan.seconds - time.monotonic()))
-            if self._plan.rests:
+            if self._plan.clients_leave_first:
                 await self._rest(stop, clients)
             await asyncio.gather(
                 *(node.process.terminate(self._site.kill_after_s) for node in self._nodes)
@@ -217,15 +217,15 @@
         self._record.backend_connections_at_rest = open_at_backends
         for node in self._nodes:
             if node.process.running:
-                node.process.life.descriptors_at_rest = node.process.open_descriptors()
+                node.process.process_record.descriptors_at_rest = node.process.open_descriptors()
 
 
-async def play(plan: SoakPlan, folder: Path) -> tuple[SoakResult, Evidence]:
+async def run_plan(plan: SoakPlan, folder: Path) -> tuple[SoakResult, Evidence]:
     """Play a plan and judge it; logs and configurations are left in the folder."""
     run = SoakRun(plan, folder)
-    evidence = await run.play()
+    evidence = await run.run()
     record = evidence.record
-    violations = judge(evidence)
+    violations = find_violations(evidence)
     statuses: dict[str, int] = {}
     for request in record.requests:
         statuses[str(request.status)] = statuses.get(str(request.status), 0) + 1
@@ -238,7 +238,7 @@
         statuses,
         len(record.attempts),
         record.faults,
-        {rule: round(part, 3) for rule, part in sorted(evidence.closest.items())},
+        {rule: round(part, 3) for rule, part in sorted(evidence.bound_ratios.items())},
         dict(evidence.excused),
         round(1000 * max((wait.waited_s for wait in record.waits), default=0.0), 1),
         round(run.cpu_pressure, 2),
--- a/fleetlab/soak/runs.py
+++ b/fleetlab/soak/runs.py
@@ -13,9 +13,9 @@
 
 from fleetlab.json_lines import append_line
 from fleetlab.soak.evidence import Evidence
-from fleetlab.soak.pressure import make_hold_up_plan, make_shutdown_plan, make_slow_start_plan
-from fleetlab.soak.run import SoakResult, play
+from fleetlab.soak.run import SoakResult, run_plan
 from fleetlab.soak.schedule import SoakPlan, make_plan
+from fleetlab.soak.stress_plans import make_pause_plan, make_shutdown_plan, make_slow_start_plan
 from fleetlab.soak.system_schedule import (
     make_counter_path_plan,
     make_system_fault_plan,
@@ -24,16 +24,16 @@
 
 MIN_INGRESSES = 10
 MAX_INGRESSES = 40
-FEW_INGRESSES_BIAS = 3  # power of the draw: most runs have few ingresses, some have all
+INGRESS_COUNT_EXPONENT = 3  # power of the draw: most runs have few ingresses, some have all
 FIRST_SLOW_START_SEED = 1000
 FIRST_SHUTDOWN_SEED = 2000
-FIRST_HOLD_UP_SEED = 3000
+FIRST_PAUSE_SEED = 3000
 FIRST_SYSTEM_FAULT_SEED = 4000
 FIRST_WRONG_CLOCK_SEED = 5000
-FIRST_REST_SEED = 6000
+FIRST_CLIENTS_LEAVE_SEED = 6000
 FIRST_COUNTER_PATH_SEED = 7000
-PRESSURE_INGRESSES = (4, 16)  # few enough for each to have many clients
-SHOWN_VIOLATIONS = 3
+STRESS_INGRESSES = (4, 16)  # few enough for each to have many clients
+MAX_SHOWN_VIOLATIONS = 3
 
 
 async def run_seed(out: Path, seed: int, ingresses: int, seconds: float) -> SoakResult:
@@ -43,17 +43,17 @@
     and all records are kept in a folder of their own.
     """
     out.mkdir(parents=True, exist_ok=True)
-    plan = plan_of(seed, ingresses, seconds)
+    plan = plan_for_seed(seed, ingresses, seconds)
     with tempfile.TemporaryDirectory(prefix="soak-") as name:
         folder = Path(name)
-        result, evidence = await play(plan, folder)
+        result, evidence = await run_plan(plan, folder)
         if result.violations:
             _keep(out / f"seed-{seed}", folder, result, evidence)
     append_line(out / "soak.jsonl", result)
     return result
 
 
-def plan_of(seed: int, ingresses: int, seconds: float) -> SoakPlan:
+def plan_for_seed(seed: int, ingresses: int, seconds: float) -> SoakPlan:
     """Return the run of a seed; ingresses: how many, 0: drawn from the seed.
 
     Seeds below FIRST_SLOW_START_SEED play all faults but those of the system. The thousand from
@@ -67,16 +67,16 @@
         return make_system_fault_plan(seed, ingresses or draw_ingresses(seed), seconds)
     if seed >= FIRST_COUNTER_PATH_SEED:
         return make_counter_path_plan(seed, ingresses or draw_ingresses(seed), seconds)
-    if seed >= FIRST_REST_SEED:
+    if seed >= FIRST_CLIENTS_LEAVE_SEED:
         plan = make_system_fault_plan(seed, ingresses or draw_ingresses(seed), seconds)
-        return replace(plan, rests=True)
-    few = Random(seed).randint(*PRESSURE_INGRESSES)
+        return replace(plan, clients_leave_first=True)
+    few = Random(seed).randint(*STRESS_INGRESSES)
     if seed < FIRST_SHUTDOWN_SEED:
         make = make_slow_start_plan
-    elif seed < FIRST_HOLD_UP_SEED:
+    elif seed < FIRST_PAUSE_SEED:
         make = make_shutdown_plan
     elif seed < FIRST_SYSTEM_FAULT_SEED:
-        make = make_hold_up_plan
+        make = make_pause_plan
     else:
         make = make_wrong_clock_plan
     return make(seed, ingresses or few, seconds)
@@ -84,7 +84,7 @@
 
 def draw_ingresses(seed: int) -> int:
     """Return how many ingresses the run of a seed has."""
-    share = Random(seed).random() ** FEW_INGRESSES_BIAS
+    share = Random(seed).random() ** INGRESS_COUNT_EXPONENT
     return MIN_INGRESSES + round((MAX_INGRESSES - MIN_INGRESSES) * share)
 
 
@@ -94,7 +94,7 @@
     (target / "record.json").write_bytes(msgspec.json.encode(evidence.record))
 
 
-def summary(result: SoakResult) -> str:
+def format_summary(result: SoakResult) -> str:
     """Return one line about a run, and more for the first violations."""
     rules = Counter(violation.rule for violation in result.violations)
     lines = [
@@ -108,7 +108,7 @@
         lines.append(f"  excused, as a process waited for a processor: {result.excused}")
     lines += [
         f"  {violation.rule} {violation.subject}: {violation.detail}"
-        for violation in result.violations[:SHOWN_VIOLATIONS]
+        for violation in result.violations[:MAX_SHOWN_VIOLATIONS]
     ]
     if result.violations:
         lines.append(
--- a/fleetlab/soak/schedule.py
+++ b/fleetlab/soak/schedule.py
@@ -9,7 +9,7 @@
 from fleetlab.soak.records import Effect
 from fleetlab.soak.site import SoakClass, SoakSite
 
-QUIET_S = 1.5  # at the begin, for every process to serve
+FAULT_FREE_S = 1.5  # at the begin, for every process to serve
 MAX_PAUSE_S = 0.15  # for which a machine may be held up
 
 CROWD_CHANCE = 0.3  # of a run
@@ -130,7 +130,7 @@
         crowd: whether idle clients fill the descriptors of some ingresses.
         counter: whether there is a shared counter.
         faults: by the time at which they begin.
-        rests: whether the clients leave before the processes are told to end.
+        clients_leave_first: whether the clients leave before the processes are told to end.
     """
 
     seed: int
@@ -142,7 +142,9 @@
     crowd: bool
     counter: bool
     faults: tuple[PlannedFault, ...]
-    rests: bool = field(default=False, repr=False)  # not part of what a listed seed draws
+    clients_leave_first: bool = field(
+        default=False, repr=False
+    )  # not part of what a listed seed draws
 
 
 def make_plan(seed: int, ingresses: int, seconds: float) -> SoakPlan:
@@ -197,14 +199,14 @@
     for target in range(ingresses):
         for kind, chance in _INGRESS_FAULTS:
             if random.random() < chance:
-                at_s = random.uniform(QUIET_S, seconds)
+                at_s = random.uniform(FAULT_FREE_S, seconds)
                 faults.append(_ingress_fault(random, kind, target, at_s))
         if random.random() < LIST_FAULT_CHANCE:
             kind = random.choice(_LIST_FAULTS)
-            at_s = random.uniform(QUIET_S, seconds)
+            at_s = random.uniform(FAULT_FREE_S, seconds)
             faults.append(PlannedFault(at_s, kind, target, random.uniform(0.5, 4.0)))
         if crowd and random.random() < CROWDED_CHANCE:
-            at_s = random.uniform(QUIET_S, seconds)
+            at_s = random.uniform(FAULT_FREE_S, seconds)
             faults.append(PlannedFault(at_s, FaultKind.CROWD, target, random.uniform(1.0, 4.0)))
     return faults
 
@@ -225,7 +227,7 @@
     faults = []
     for target in random.sample(range(backends), backends // 2):
         for _ in range(random.randint(1, 3)):
-            at_s = random.uniform(QUIET_S, seconds)
+            at_s = random.uniform(FAULT_FREE_S, seconds)
             kind = random.choice(_BACKEND_FAULTS)
             faults.append(PlannedFault(at_s, kind, target, random.uniform(1.0, 5.0)))
     return faults
--- a/fleetlab/soak/site.py
+++ b/fleetlab/soak/site.py
@@ -10,7 +10,7 @@
 from fleetlab.soak.records import Effect
 from fleetlab.versioned_list import JsonObject
 
-GRACE_S = 0.7  # of the rule on SIGKILL
+SIGKILL_GRACE_S = 0.7  # of the rule on SIGKILL
 MAX_COUNTED_DEADLINE_S = 3.0
 
 
@@ -57,7 +57,7 @@
     def kill_after_s(self) -> float:
         """The earliest SIGKILL after SIGTERM."""
         longest = max(request_class.deadline_s for request_class in self.classes)
-        return min(longest, MAX_COUNTED_DEADLINE_S) + GRACE_S
+        return min(longest, MAX_COUNTED_DEADLINE_S) + SIGKILL_GRACE_S
 
     def config(
         self, index: int, seed: int, discovery: str, known: list[JsonObject], counter: str = ""
--- a/fleetlab/soak/pressure.py
+++ b/fleetlab/soak/stress_plans.py
@@ -7,8 +7,8 @@
 
 from fleetlab.soak.records import Effect
 from fleetlab.soak.schedule import (
+    FAULT_FREE_S,
     MAX_PAUSE_S,
-    QUIET_S,
     SIGNAL_SERIES,
     FaultKind,
     PlannedFault,
@@ -26,8 +26,8 @@
 WAVES = 2  # of hanging backends, each with restarts of half of the ingresses
 WAVE_S = 5.0
 DISTURBED_INGRESSES = 0.25  # of all: the others are not restarted, paused or reloaded
-HOLD_UP_DEADLINES_S = (0.3, 0.6)  # of the longest class: a pause often reaches beyond them
-HOLD_UP_INTERVAL_S = 0.6  # between two pauses of an ingress, on average
+PAUSE_DEADLINES_S = (0.3, 0.6)  # of the longest class: a pause often reaches beyond them
+PAUSE_INTERVAL_S = 0.6  # between two pauses of an ingress, on average
 
 
 def make_slow_start_plan(seed: int, ingresses: int, seconds: float) -> SoakPlan:
@@ -55,7 +55,7 @@
     faults = []
     latest_s = min(STARTS_WITHIN_S, seconds / 2)
     for target in random.sample(range(backends), backends // 2):
-        at_s = random.uniform(QUIET_S, latest_s)
+        at_s = random.uniform(FAULT_FREE_S, latest_s)
         away_s = random.uniform(0.3, 0.8)
         faults.append(PlannedFault(at_s, FaultKind.BACKEND_DRAINS, target, 2 * away_s))
         if random.random() >= LATE_CHANCE:
@@ -95,7 +95,7 @@
     shuffled = random.sample(range(ingresses), ingresses)
     faults = []
     for wave in range(WAVES):
-        at_s = QUIET_S + wave * max(0.0, seconds - QUIET_S - 1) / WAVES
+        at_s = FAULT_FREE_S + wave * max(0.0, seconds - FAULT_FREE_S - 1) / WAVES
         faults += _hanging_backends(random, backends, at_s)
         faults += _restarts(random, shuffled[wave::WAVES], at_s)
     return _plan(seed, site, backends, seconds, random.randint(4, 6), faults)
@@ -123,13 +123,13 @@
     ]
 
 
-def make_hold_up_plan(seed: int, ingresses: int, seconds: float) -> SoakPlan:
+def make_pause_plan(seed: int, ingresses: int, seconds: float) -> SoakPlan:
     """Return a run whose ingresses are paused again and again, across deadlines and responses.
 
     The responses of all backends end with their connections, which is read last of all.
     """
     random = Random(f"hold-up {seed}")
-    longest_s = random.choice(HOLD_UP_DEADLINES_S)
+    longest_s = random.choice(PAUSE_DEADLINES_S)
     classes = tuple(
         SoakClass(name, effect, longest_s * random.uniform(0.4, 1.0))
         for name, effect in zip(("order", "pay", "read"), Effect, strict=True)
@@ -137,12 +137,12 @@
     site = replace(draw_site(random, ingresses), classes=classes)
     backends = random.randint(6, 8)
     faults = [
-        PlannedFault(QUIET_S, FaultKind.BACKEND_UNBOUNDED, target, seconds)
+        PlannedFault(FAULT_FREE_S, FaultKind.BACKEND_UNBOUNDED, target, seconds)
         for target in range(backends)
     ]
     for target in range(ingresses):
-        at_s = QUIET_S
-        while (at_s := at_s + HOLD_UP_INTERVAL_S * random.uniform(0.5, 1.5)) < seconds:
+        at_s = FAULT_FREE_S
+        while (at_s := at_s + PAUSE_INTERVAL_S * random.uniform(0.5, 1.5)) < seconds:
             pause_s = random.uniform(0.05, MAX_PAUSE_S)
             faults.append(PlannedFault(at_s, FaultKind.PAUSE, target, pause_s))
     clients = max(2, CLIENTS // ingresses)
--- a/fleetlab/soak/system_schedule.py
+++ b/fleetlab/soak/system_schedule.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from random import Random
 
-from fleetlab.soak.pressure import make_slow_start_plan
-from fleetlab.soak.schedule import QUIET_S, FaultKind, PlannedFault, SoakPlan, make_plan
+from fleetlab.soak.schedule import FAULT_FREE_S, FaultKind, PlannedFault, SoakPlan, make_plan
+from fleetlab.soak.stress_plans import make_slow_start_plan
 
 FAULTS_PER_INGRESS = (1, 4)
 CLOCK_STEP_CHANCE = 0.4  # of an ingress
@@ -40,12 +40,12 @@
     faults = list(plan.faults)
     for target in range(ingresses):
         for _ in range(random.randint(*FAULTS_PER_INGRESS)):
-            at_s = random.uniform(QUIET_S, seconds)
+            at_s = random.uniform(FAULT_FREE_S, seconds)
             kind = random.choice(_KINDS)
             faults.append(PlannedFault(at_s, kind, target, random.uniform(0.5, 3.0)))
         if random.random() < CLOCK_STEP_CHANCE:
             step_s = random.choice(CLOCK_STEPS_S)
-            at_s = random.uniform(QUIET_S, seconds)
+            at_s = random.uniform(FAULT_FREE_S, seconds)
             faults.append(PlannedFault(at_s, FaultKind.CLOCK_STEP, target, step_s))
     faults += _log_faults(random, plan, seconds)
     return replace(plan, faults=tuple(sorted(faults, key=lambda fault: fault.at_s)))
@@ -57,7 +57,7 @@
     random = Random(f"counter path {seed}")
     faults = [
         PlannedFault(
-            random.uniform(QUIET_S, seconds), kind, ALL_INGRESSES, random.uniform(0.3, 2.0)
+            random.uniform(FAULT_FREE_S, seconds), kind, ALL_INGRESSES, random.uniform(0.3, 2.0)
         )
         for kind in random.sample(_COUNTER_KINDS, 3)
     ]
@@ -85,6 +85,6 @@
     restarted = {fault.target for fault in plan.faults if fault.kind in restarts}
     lasting = [target for target in range(plan.ingresses) if target not in restarted]
     return [
-        PlannedFault(random.uniform(QUIET_S, seconds), FaultKind.SYSTEM_LOG, target, 1.0)
+        PlannedFault(random.uniform(FAULT_FREE_S, seconds), FaultKind.SYSTEM_LOG, target, 1.0)
         for target in lasting[:1]
     ]
--- a/fleetlab/system_faults/control.py
+++ b/fleetlab/system_faults/control.py
@@ -7,7 +7,7 @@
 from enum import IntEnum
 from pathlib import Path
 
-CERTAIN = 1_000_000  # the rate of a fault that always comes
+FULL_RATE = 1_000_000  # the rate of a fault that always comes
 
 
 class SystemFault(IntEnum):
@@ -42,7 +42,7 @@
     def set_probability(self, fault: SystemFault, probability: float) -> None:
         """Let calls fail with a probability from 0 to 1."""
         offset = _RATES_AT + _NUMBER.size * fault
-        _NUMBER.pack_into(self._memory, offset, round(probability * CERTAIN))
+        _NUMBER.pack_into(self._memory, offset, round(probability * FULL_RATE))
 
     def step_clock(self, seconds: float) -> None:
         """Set the wall clock forward, or back, by so much more."""
--- a/fleetlab/system_faults/library.py
+++ b/fleetlab/system_faults/library.py
@@ -36,6 +36,6 @@
     return library
 
 
-def environment(library: Path, faults: SystemFaults) -> dict[str, str]:
+def library_environment(library: Path, faults: SystemFaults) -> dict[str, str]:
     """Return the variables with which a process loads the library and obeys these faults."""
     return {"LD_PRELOAD": str(library), CONTROL_VARIABLE: str(faults.path)}
--- a/tests/fleetlab/test_system_faults.py
+++ b/tests/fleetlab/test_system_faults.py
@@ -12,7 +12,7 @@
 import pytest
 
 from fleetlab.system_faults.control import SystemFault, SystemFaults
-from fleetlab.system_faults.library import MissingCompilerError, build_library, environment
+from fleetlab.system_faults.library import MissingCompilerError, build_library, library_environment
 
 # what a process does to meet each fault; the name of the error, or what was read, is printed
 PROLOGUE = """
@@ -58,7 +58,7 @@
 def run(library: Path, faults: SystemFaults, code: str) -> str:
     return subprocess.run(
         [sys.executable, "-c", PROLOGUE + code],
-        env=os.environ | environment(library, faults),
+        env=os.environ | library_environment(library, faults),
         check=True,
         capture_output=True,
         text=True,
--- a/tests/soak/builders.py
+++ b/tests/soak/builders.py
@@ -11,8 +11,8 @@
     BackendStart,
     ClientRequest,
     Effect,
-    Life,
     ListChange,
+    ProcessRecord,
     RunRecord,
 )
 from fleetlab.soak.site import SoakClass, SoakSite
@@ -22,38 +22,38 @@
 ACCEPTED = f"INFO request accepted: subject={ID} reason=serving number=1"
 
 
-def sent(effect: Effect = Effect.IDEMPOTENT, **changes: Any) -> ClientRequest:
+def served_request(effect: Effect = Effect.IDEMPOTENT, **changes: Any) -> ClientRequest:
     """Return a request that was sent at 10 s and served at 10.1 s."""
-    usual: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "first_on_connection": False,
         "sent_at": 10.0,
         "answered_at": 10.1,
         "status": 200,
         "body": b"made",
     }
-    return ClientRequest(ID, "n0", effect, 2.0, began_at=10.0, **(usual | changes))
+    return ClientRequest(ID, "n0", effect, 2.0, began_at=10.0, **(defaults | changes))
 
 
-def unanswered(effect: Effect = Effect.IDEMPOTENT, **changes: Any) -> ClientRequest:
+def unanswered_request(effect: Effect = Effect.IDEMPOTENT, **changes: Any) -> ClientRequest:
     """Return a request whose connection has ended at 11 s, without a response."""
-    usual = {"answered_at": None, "status": 0, "body": b"", "ended_at": 11.0}
-    return sent(effect, **(usual | changes))
+    defaults = {"answered_at": None, "status": 0, "body": b"", "ended_at": 11.0}
+    return served_request(effect, **(defaults | changes))
 
 
 def attempt(at: float = 10.01, backend: str = "s-1", **changes: Any) -> Attempt:
     """Return an attempt that was served 50 ms after its arrival."""
-    usual: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "result": AttemptResult.SERVED,
         "ended_at": at + 0.05,
         "body": b"made",
     }
     told_timeout_s = changes.pop("told_timeout_s", 0.0)
-    return Attempt(ID, backend, 0, "", told_timeout_s, at, at, **(usual | changes))
+    return Attempt(ID, backend, 0, "", told_timeout_s, at, at, **(defaults | changes))
 
 
-def life(**changes: Any) -> Life:
+def process_record(**changes: Any) -> ProcessRecord:
     """Return a process that has served from 1 s on."""
-    return Life("n0", 7, **({"started_at": 0.5, "ready_at": 1.0} | changes))
+    return ProcessRecord("n0", 7, **({"started_at": 0.5, "ready_at": 1.0} | changes))
 
 
 def evidence(*requests: ClientRequest, **changes: Any) -> Evidence:
@@ -61,30 +61,32 @@
     logs = {"n0": changes.pop("log", "")}
     site = changes.pop("site", SITE)
     crowd = changes.pop("crowd", False)
-    record = RunRecord(list(requests), **({"lives": [life()]} | changes))
+    record = RunRecord(list(requests), **({"lives": [process_record()]} | changes))
     return Evidence(record, site, logs, crowd=crowd)
 
 
-DRAINED = life(signals=[("SIGTERM", 10.5), ("SIGKILL", 13.2)], ended_at=13.2, exit_code=-9)
-KILLED = life(signals=[("SIGKILL", 11.0)], ended_at=11.0, exit_code=-9)
-HELD_UP = life(
+DRAINED = process_record(
+    signals=[("SIGTERM", 10.5), ("SIGKILL", 13.2)], ended_at=13.2, exit_code=-9
+)
+KILLED = process_record(signals=[("SIGKILL", 11.0)], ended_at=11.0, exit_code=-9)
+PAUSED = process_record(
     signals=[("SIGTERM", 10.5), ("SIGSTOP", 13.1), ("SIGKILL", 13.2)], ended_at=13.2, exit_code=-9
 )
 SERVED = attempt()
 HANGING = attempt(result=AttemptResult.ABANDONED, ended_at=11.0)
 
 
-def starting(count: int) -> list[Attempt]:
+def startup_burst(count: int) -> list[Attempt]:
     """Return so many attempts at a backend within one window after its start."""
     return [attempt(10.0 + number / 1000) for number in range(count)]
 
 
-def of_two(told: int, late: int) -> Evidence:
+def burst_from_two_ingresses(told: int, late: int) -> Evidence:
     """Return a burst at a starting backend from an ingress that was told, and from a late one.
 
     The rule allows 108.4 requests in its window, and two thirds of it are 72.3.
     """
-    attempts = starting(told + late)
+    attempts = startup_burst(told + late)
     requests = []
     for number, made in enumerate(attempts):
         made.request_id = f"{number:016x}"
--- a/tests/soak/support.py
+++ b/tests/soak/support.py
@@ -21,7 +21,7 @@
 
 
 @dataclass
-class Scene:
+class RunningIngress:
     """A running ingress and what is around it."""
 
     site: SoakSite
@@ -44,7 +44,7 @@
             self.process.name, self.process.address, self.requests
         )
 
-    async def ask(self, number: int = 0, class_index: int = 0) -> ClientRequest:
+    async def send_request(self, number: int = 0, class_index: int = 0) -> ClientRequest:
         """Send a request on a new connection and read its response."""
         connection = await self.connect()
         record = await connection.send(self.plan(number, class_index))
@@ -54,9 +54,9 @@
 
 
 @asynccontextmanager
-async def scene(
+async def running_ingress(
     folder: Path, site: SoakSite, behaviour: Behaviour, backends: int = 4, number: int = 0
-) -> AsyncIterator[Scene]:
+) -> AsyncIterator[RunningIngress]:
     """Run an ingress before so many backends that all behave alike."""
     attempts: list[Attempt] = []
     async with AsyncExitStack() as resources:
@@ -76,21 +76,23 @@
         process = IngressProcess("n0", ingress_address(number), config, folder)
         resources.push_async_callback(process.kill)
         await process.start()
-        yield Scene(site, process, servers, attempts, [])
+        yield RunningIngress(site, process, servers, attempts, [])
 
 
 async def send_late_in_drain(
-    scene: Scene, connect_after_s: float, send_after_s: float
+    running_ingress: RunningIngress, connect_after_s: float, send_after_s: float
 ) -> ClientRequest:
     """Send SIGTERM, connect and send a request so long after it; SIGKILL as early as it may come.
 
     Return the request, with its response if there was one.
     """
-    ending = asyncio.create_task(scene.process.terminate(scene.site.kill_after_s))
+    ending = asyncio.create_task(
+        running_ingress.process.terminate(running_ingress.site.kill_after_s)
+    )
     await asyncio.sleep(connect_after_s)
-    connection = await scene.connect()
+    connection = await running_ingress.connect()
     await asyncio.sleep(send_after_s - connect_after_s)
-    record = await connection.send(scene.plan())
+    record = await connection.send(running_ingress.plan())
     await connection.receive(record)
     connection.close()
     await ending
--- a/tests/soak/test_incident_2026_12_02.py
+++ b/tests/soak/test_drain_and_unbounded_responses.py
@@ -12,7 +12,7 @@
 from fleetlab.soak.behaviour import Behaviour
 from fleetlab.soak.records import Effect
 from fleetlab.soak.site import SoakClass, SoakSite
-from tests.soak.support import scene, send_late_in_drain
+from tests.soak.support import running_ingress, send_late_in_drain
 from tests.support.event_loop import run
 
 SEARCH = SoakClass("search", Effect.IDEMPOTENT, 4.0)
@@ -29,11 +29,11 @@
 
     async def test() -> None:
         site = SoakSite((request_class,))
-        async with scene(tmp_path, site, Behaviour.HANG) as ingress:
+        async with running_ingress(tmp_path, site, Behaviour.HANG) as ingress:
             record = await send_late_in_drain(ingress, 0.3, send_after_s)
             assert ingress.attempts, "the request was not forwarded"
             assert record.status in (429, 502), ingress.process.log_tail()
-            assert ingress.process.life.exit_code == 0
+            assert ingress.process.process_record.exit_code == 0
 
     run(test())
 
@@ -45,8 +45,8 @@
 ) -> None:
     async def test() -> None:
         site = SoakSite((SoakClass("search", effect, 2.0),))
-        async with scene(tmp_path, site, behaviour) as ingress:
-            record = await ingress.ask()
+        async with running_ingress(tmp_path, site, behaviour) as ingress:
+            record = await ingress.send_request()
             assert record.status == 200, ingress.process.log_tail()
             assert [record.body] == [attempt.body for attempt in ingress.attempts]
 
@@ -59,8 +59,8 @@
 ) -> None:
     async def test() -> None:
         site = SoakSite((SoakClass("search", effect, 2.0),))
-        async with scene(tmp_path, site, Behaviour.UNBOUNDED_RESET) as ingress:
-            record = await ingress.ask()
+        async with running_ingress(tmp_path, site, Behaviour.UNBOUNDED_RESET) as ingress:
+            record = await ingress.send_request()
             assert record.status in (429, 502)
 
     run(test())
--- a/tests/soak/test_planted_faults.py
+++ b/tests/soak/test_planted_faults.py
@@ -14,7 +14,7 @@
     plant,
     read_planted_faults,
 )
-from tests.soak.test_oracles import FOUND
+from tests.soak.test_oracles import VIOLATIONS
 from tests.support.paths import ROOT
 
 FAULTS = read_planted_faults()
@@ -43,4 +43,4 @@
 
 
 def test_every_rule_of_the_list_has_an_oracle() -> None:
-    assert {fault.rule for fault in FAULTS} <= {rule for rule, _ in FOUND.values()}
+    assert {fault.rule for fault in FAULTS} <= {rule for rule, _ in VIOLATIONS.values()}
--- a/tests/soak/test_run.py
+++ b/tests/soak/test_run.py
@@ -8,7 +8,7 @@
 
 import uvloop
 
-from fleetlab.soak.run import play
+from fleetlab.soak.run import run_plan
 from fleetlab.soak.schedule import FaultKind, PlannedFault, make_plan
 
 
@@ -17,7 +17,7 @@
     drain = PlannedFault(0.5, FaultKind.BACKEND_DRAINS, 0, 0.2)
     plan = replace(make_plan(1, 1, 3.0), faults=(drain,), crowd=False)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        result, evidence = runner.run(play(plan, tmp_path))
+        result, evidence = runner.run(run_plan(plan, tmp_path))
     record = evidence.record
     assert result.violations == []
     for ingress in ("", "n0"):
@@ -26,6 +26,6 @@
     assert [start.incarnation for start in record.backend_starts] == [1]
     assert record.requests
     assert record.attempts
-    assert [life.exit_code for life in record.lives] == [0]
+    assert [process_record.exit_code for process_record in record.lives] == [0]
     assert evidence.accepted_ids()
     assert evidence.has_drained(record.lives[0])
--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -7,10 +7,10 @@
 import pytest
 
 from fleetlab.soak.runs import (
-    FIRST_HOLD_UP_SEED,
+    FIRST_PAUSE_SEED,
     FIRST_SHUTDOWN_SEED,
     FIRST_SLOW_START_SEED,
-    plan_of,
+    plan_for_seed,
 )
 from fleetlab.soak.schedule import FaultKind
 
@@ -25,12 +25,12 @@
 
 @pytest.mark.parametrize("seed", LISTED_PLANS)
 def test_a_listed_seed_draws_the_same_plan(seed: int) -> None:
-    plan = repr(plan_of(seed, 10, 10.0))
+    plan = repr(plan_for_seed(seed, 10, 10.0))
     assert hashlib.sha256(plan.encode()).hexdigest()[:16] == LISTED_PLANS[seed]
 
 
 def test_eight_seeds_press_on_slow_start_in_many_ways() -> None:
-    plans = [plan_of(FIRST_SLOW_START_SEED + seed, 0, 12.0) for seed in range(1, 9)]
+    plans = [plan_for_seed(FIRST_SLOW_START_SEED + seed, 0, 12.0) for seed in range(1, 9)]
     assert {plan.site.overload_window_s for plan in plans} == {0.5, 1.0, 3.0}
     for plan in plans:
         starts = [fault for fault in plan.faults if fault.kind is FaultKind.BACKEND_DRAINS]
@@ -41,7 +41,7 @@
 
 
 def test_a_seed_that_presses_on_shutdown_restarts_all_ingresses_while_backends_hang() -> None:
-    plan = plan_of(FIRST_SHUTDOWN_SEED + 1, 6, 12.0)
+    plan = plan_for_seed(FIRST_SHUTDOWN_SEED + 1, 6, 12.0)
     restarts = [fault for fault in plan.faults if fault.kind is FaultKind.RESTART]
     assert {fault.target for fault in restarts} == set(range(6))
     for restart in restarts:
@@ -55,6 +55,6 @@
 
 
 def test_a_seed_that_presses_on_hold_ups_pauses_all_ingresses_often() -> None:
-    plan = plan_of(FIRST_HOLD_UP_SEED + 1, 6, 12.0)
+    plan = plan_for_seed(FIRST_PAUSE_SEED + 1, 6, 12.0)
     pauses = [fault.target for fault in plan.faults if fault.kind is FaultKind.PAUSE]
     assert all(pauses.count(ingress) > 5 for ingress in range(6))
--- a/tests/soak/test_seeds_with_violations.py
+++ b/tests/soak/test_seeds_with_violations.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from fleetlab.soak.run import play
+from fleetlab.soak.run import run_plan
 from fleetlab.soak.schedule import make_plan
 
 TIMEOUT_S = 90.0
@@ -23,5 +23,5 @@
     """One ingress hears of the start 1.4 s late; the others leave no room for what it sends."""
     plan = make_plan(139, 10, 10.0)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        result, _ = runner.run(asyncio.wait_for(play(plan, tmp_path), TIMEOUT_S))
+        result, _ = runner.run(asyncio.wait_for(run_plan(plan, tmp_path), TIMEOUT_S))
     assert [found for found in result.violations if found.rule == "slow_start"] == []
--- a/tests/soak/test_slow_start_budget.py
+++ b/tests/soak/test_slow_start_budget.py
@@ -27,7 +27,7 @@
 import uvloop
 
 from fleetlab.soak.records import Effect
-from fleetlab.soak.run import play
+from fleetlab.soak.run import run_plan
 from fleetlab.soak.schedule import FaultKind, PlannedFault, SoakPlan
 from fleetlab.soak.site import SoakClass, SoakSite
 
@@ -64,7 +64,7 @@
 
 def test_ingresses_that_know_of_a_start_do_not_overload_the_backend(tmp_path: Path) -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        result, evidence = runner.run(asyncio.wait_for(play(PLAN, tmp_path), TIMEOUT_S))
+        result, evidence = runner.run(asyncio.wait_for(run_plan(PLAN, tmp_path), TIMEOUT_S))
     assert len(evidence.record.backend_starts) == 3
     rules = ("slow_start", "slow_start_room")
     assert [found for found in result.violations if found.rule in rules] == []
