--- a/sumacpost/clock.py
+++ b/sumacpost/clock.py
@@ -17,8 +17,9 @@
 
     The gateway names counters after the current minute, and all ingresses must name them alike: so
     the scale is the one that machines share. Where the wall clock is wrong at the start, spans of
-    time are right all the same, and starts of backends are placed by `StartTimes`; the names of the
-    counter are then this ingress's own, and its customers' use is not seen by the others.
+    time are right all the same, and starts of backends are converted by `StartTimeConverter`; the
+    names of the counter are then this ingress's own, and its customers' use is not seen by the
+    others.
     """
 
     def now(self) -> float:
--- a/sumacpost/config.py
+++ b/sumacpost/config.py
@@ -22,7 +22,7 @@
     EndpointListParser,
     EndpointListReader,
 )
-from sumacpost.discovery.incremental_json import IncrementalJson, JsonEvent
+from sumacpost.discovery.incremental_json import IncrementalJsonDecoder, JsonEvent
 from sumacpost.errors import ConfigError
 from sumacpost.http1 import MAX_BODY
 from sumacpost.model import DeduplicationScope, EndpointListUpdate, Settings, UpdateKind
@@ -167,7 +167,7 @@
 
 def _decode(pieces: Iterable[bytes], builder: _ConfigBuilder) -> Generator[None, None, None]:
     """Send the JSON events of a file to the builder, yielding after each piece."""
-    decoder = IncrementalJson(builder)
+    decoder = IncrementalJsonDecoder(builder)
     for piece in pieces:
         decoder.feed(piece)
         yield
--- a/sumacpost/counter/client.py
+++ b/sumacpost/counter/client.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 0.5
-RECONNECT_PAUSE_S = 0.2  # after an attempt that failed, or a connection that was of no use
+RECONNECT_DELAY_S = 0.2  # after an attempt that failed, or a connection that was of no use
 
 
 class CounterClient:
@@ -57,13 +57,13 @@
             connection = await self._connect(self._address)
             if connection is None:
                 first_attempt_done.set()
-                await asyncio.sleep(RECONNECT_PAUSE_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
             self._replace_connection(connection)
             first_attempt_done.set()
             await self._connection_ended.wait()
-            if not connection.usable:
-                await asyncio.sleep(RECONNECT_PAUSE_S)
+            if not connection.allows_immediate_reconnect:
+                await asyncio.sleep(RECONNECT_DELAY_S)
         first_attempt_done.set()
         await asyncio.Event().wait()
 
@@ -81,7 +81,7 @@
 
     def _new_connection(self) -> CounterConnection:
         return CounterConnection(
-            self._timeout_s, self._reply_latency, self._conclude, self._connection_lost
+            self._timeout_s, self._reply_latency, self._conclude, self._on_connection_lost
         )
 
     def _replace_connection(self, connection: CounterConnection) -> None:
@@ -101,7 +101,7 @@
         """
         self._address = address
 
-    def _connection_lost(self, connection: CounterConnection) -> None:
+    def _on_connection_lost(self, connection: CounterConnection) -> None:
         if connection is self._connection:
             self._connection = None
             self._connection_ended.set()
--- a/sumacpost/counter/connection.py
+++ b/sumacpost/counter/connection.py
@@ -95,7 +95,7 @@
         self._loss_outcome = Outcome.TIMEOUT  # of calls that wait when the connection ends
 
     @property
-    def usable(self) -> bool:
+    def allows_immediate_reconnect(self) -> bool:
         """Whether it was replied on, or has stood a while: it can be replaced without a pause."""
         return self._has_replied or self._loop.time() - self._created_at > STABLE_AFTER_S
 
@@ -156,7 +156,7 @@
         """
         self._timer = None
         now = self._loop.time() + TIMER_TOLERANCE_S
-        if self._stuck_within_reply(now):
+        if self._has_stalled_reply(now):
             # the call that this reply belongs to was added
             self._close_silent(Outcome.TIMEOUT, "partial_reply")
             return
@@ -171,7 +171,7 @@
         elif self._transport is not None and self._unreplied:
             self._set_timer(now)
 
-    def _stuck_within_reply(self, now: float) -> bool:
+    def _has_stalled_reply(self, now: float) -> bool:
         return (
             self._decoder.has_partial_reply
             and bool(self._waiting)
@@ -209,7 +209,7 @@
         self._decoder.receive_data(data)
         try:
             while (reply := self._decoder.next_reply()) is not None:
-                self._accept(reply)
+                self._handle_reply(reply)
         except CounterProtocolError as error:
             log.warning("counter connection failed: error=%s", error)
             self._has_replied = self._has_replied or bool(self._unreplied)
@@ -217,7 +217,7 @@
         else:
             self._close_if_retired()
 
-    def _accept(self, reply: Reply) -> None:
+    def _handle_reply(self, reply: Reply) -> None:
         """Take the reply to the oldest call; CounterProtocolError if there is none."""
         if not self._unreplied:
             raise CounterProtocolError(f"{reply!r} without a call")
--- a/sumacpost/counter/resp.py
+++ b/sumacpost/counter/resp.py
@@ -17,12 +17,12 @@
 from sumacpost.errors import CounterProtocolError
 
 MIN_TTL_MS = 1  # the shortest time to live that the counter accepts
-QUOTED_BYTES = 32  # of unexpected data, in an error message
+MAX_QUOTED_BYTES = 32  # of unexpected data, in an error message
 
 _REPLY = re.compile(rb"\$(\d{1,2})\r\n([^\r\n]{1,99})\r\n|-([^\r\n]{1,99})\r\n")
 _INCOMPLETE_REPLY = re.compile(rb"\$(\d{1,2})?(\r|\r\n[^\r\n]{0,99}\r?)?|-[^\r\n]{0,99}\r?")
 _DECIMAL_NUMBER = re.compile(rb"[+-]?\d+(\.\d*)?([eE][+-]?\d{1,3})?")
-_NOTHING_ADDED = re.compile(rb"(BUSY|ERR)( [ -~]*)?")
+_KNOWN_ERROR = re.compile(rb"(BUSY|ERR)( [ -~]*)?")
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
         match = _REPLY.match(self._buffer)
         if match is None:
             if _INCOMPLETE_REPLY.fullmatch(self._buffer) is None:
-                raise CounterProtocolError(repr(self._buffer[:QUOTED_BYTES]))
+                raise CounterProtocolError(repr(self._buffer[:MAX_QUOTED_BYTES]))
             return None
         self._buffer = self._buffer[match.end() :]
         return _parse_reply(match)
@@ -103,7 +103,7 @@
     """Return the reply that _REPLY has matched; CounterProtocolError if its content is invalid."""
     length, number, error = match.groups()
     if error is not None:
-        if _NOTHING_ADDED.fullmatch(error) is None:
+        if _KNOWN_ERROR.fullmatch(error) is None:
             # a garbled error doesn't prove that nothing was added
             raise CounterProtocolError(repr(match[0]))
         return ErrorReply(error)
--- a/sumacpost/discovery/backoff.py
+++ b/sumacpost/discovery/backoff.py
@@ -16,10 +16,10 @@
 # A change must be known 6 s after discovery had it, whatever failed before, and the next poll needs
 # its time too.
 MAX_RECONNECT_DELAY_S = 4.0
-MAX_DOUBLINGS = 10  # of the delay: far past its bound
+MAX_DELAY_DOUBLINGS = 10  # of the delay: far past its bound
 SMALL_LIST_BYTES = 64 * 1024  # lists up to this size may be requested again at any time
 LIMITED_BYTES_PER_S = 3000
-MIN_LIMIT_S = 60.0  # what the first limit lasts; each further one may last twice as long
+INITIAL_MAX_LIMIT_S = 60.0  # what the first limit lasts; each further one may last twice as long
 MAX_LIMIT_DOUBLINGS = 20
 # Half of what the rate allows in the longest delay: the rest is for heads, and for what is on its
 # way when a connection is closed.
@@ -41,7 +41,7 @@
         """Forget all failures, as after a list that could be used."""
         self.failures = 0
         self.limited_until = -inf
-        self._limits = 0
+        self._limit_count = 0
 
     def is_limited(self, now: float) -> bool:
         """Return whether only short responses are accepted."""
@@ -58,8 +58,8 @@
             return RECONNECT_DELAY_S
         self.failures += 1
         if received_bytes > SMALL_LIST_BYTES and (malformed or self.failures > 1):
-            longest_s = MIN_LIMIT_S * 2.0 ** min(self._limits, MAX_LIMIT_DOUBLINGS)
-            self.limited_until = now + min(received_bytes / LIMITED_BYTES_PER_S, longest_s)
-            self._limits += 1
-        delay_s = RECONNECT_DELAY_S * 2.0 ** min(self.failures - 1, MAX_DOUBLINGS)
+            max_limit_s = INITIAL_MAX_LIMIT_S * 2.0 ** min(self._limit_count, MAX_LIMIT_DOUBLINGS)
+            self.limited_until = now + min(received_bytes / LIMITED_BYTES_PER_S, max_limit_s)
+            self._limit_count += 1
+        delay_s = RECONNECT_DELAY_S * 2.0 ** min(self.failures - 1, MAX_DELAY_DOUBLINGS)
         return min(MAX_RECONNECT_DELAY_S, delay_s) * uniform(0.5, 1.0)
--- a/sumacpost/discovery/deduplication_peers.py
+++ b/sumacpost/discovery/deduplication_peers.py
@@ -8,7 +8,7 @@
 from sumacpost.address import Address
 from sumacpost.model import BackendId, Endpoint, EndpointStatus
 
-DEDUPLICATION_PEERS = 2  # backends of other partitions that are held for each cell
+DEDUPLICATION_PEERS_PER_CELL = 2  # backends of other partitions that are held for each cell
 
 
 class ListedBackend(NamedTuple):
@@ -38,12 +38,12 @@
     def __len__(self) -> int:
         return sum(map(len, self._candidates.values()))
 
-    def wants(self, backend: BackendId, status: EndpointStatus, cell: int) -> bool:
+    def is_candidate(self, backend: BackendId, status: EndpointStatus, cell: int) -> bool:
         """Return whether a backend of another partition would be a candidate for its cell."""
         if status is not EndpointStatus.READY:
             return False
         candidates = self._candidates.get(cell, [])
-        if len(candidates) < DEDUPLICATION_PEERS:
+        if len(candidates) < DEDUPLICATION_PEERS_PER_CELL:
             return True
         return self._rank(backend) < candidates[-1].rank
 
@@ -52,8 +52,8 @@
         candidates = self._candidates.setdefault(listed.endpoint.cell, [])
         candidates.append(_Candidate(self._rank(listed.endpoint.backend), listed))
         candidates.sort(key=lambda candidate: candidate.rank)
-        del candidates[DEDUPLICATION_PEERS:]
+        del candidates[DEDUPLICATION_PEERS_PER_CELL:]
 
-    def first(self, cell: int, count: int) -> list[ListedBackend]:
+    def lowest_ranked(self, cell: int, count: int) -> list[ListedBackend]:
         """Return up to so many candidates for a cell, by rank."""
         return [candidate.listed for candidate in self._candidates.get(cell, [])[:count]]
--- a/sumacpost/discovery/endpoint_list.py
+++ b/sumacpost/discovery/endpoint_list.py
@@ -13,11 +13,11 @@
 
 from sumacpost.address import Address, parse_address
 from sumacpost.discovery.deduplication_peers import (
-    DEDUPLICATION_PEERS,
+    DEDUPLICATION_PEERS_PER_CELL,
     DeduplicationPeers,
     ListedBackend,
 )
-from sumacpost.discovery.incremental_json import IncrementalJson, JsonEvent
+from sumacpost.discovery.incremental_json import IncrementalJsonDecoder, JsonEvent
 from sumacpost.errors import EndpointListError
 from sumacpost.model import BackendId, Endpoint, EndpointListUpdate, EndpointStatus, UpdateKind
 from sumacpost.policy.subsetting import Partition, splitmix64
@@ -26,10 +26,10 @@
 MAX_LIST_BYTES = 64 * 1024 * 1024
 MAX_ENTRIES = 1 << 18  # more than twice as many backends as the largest fleet that is planned
 MAX_DEPTH = 8  # of nested values; a list has three
-MAX_SIZE = 1e6  # of a backend, relative to a standard one
+MAX_BACKEND_SIZE = 1e6  # of a backend, relative to a standard one
 MAX_BOOT_MS = 1e15
-UNKNOWN_NAME = 0xFFFF  # the number of a zone or machine type that the settings don't name
-STATUSES = {
+UNKNOWN_INDEX = 0xFFFF  # the number of a zone or machine type that the settings don't name
+STATUS_BY_NAME = {
     "active": EndpointStatus.READY,
     "leaving": EndpointStatus.DRAINING,
     "left": EndpointStatus.GONE,
@@ -53,7 +53,7 @@
     return int.from_bytes(blake2b(uid.encode(), digest_size=6).digest(), "big")
 
 
-class _Value(Enum):
+class _JsonContext(Enum):
     """The kinds of JSON values that a parser can be within."""
 
     DOCUMENT = auto()
@@ -72,36 +72,36 @@
     def __init__(self, reader: EndpointListReader, partition: Partition) -> None:
         self.partition = partition
         self._reader = reader
-        self._enclosing: list[_Value] = []  # the values around the present one, outermost first
-        self._within = _Value.DOCUMENT
+        self._outer_contexts: list[_JsonContext] = []  # enclosing values, outermost first
+        self._context = _JsonContext.DOCUMENT
         self._list_fields: dict[str, Any] = {}
         self._entry_fields: dict[str, Any] = {}
-        self._fields: dict[str, Any] | None = None  # those of the present value, if it has any
-        self._key = ""  # of the present field
+        self._current_fields: dict[str, Any] | None = None  # None outside the list and its entries
+        self._current_key = ""  # of the present field
         self._entry_count = 0
         self._present_count = 0  # entries that are not gone
-        self._held: dict[BackendId, ListedBackend] = {}
+        self._stored: dict[BackendId, ListedBackend] = {}
         self._peers = DeduplicationPeers(reader.rank)
 
     def send(self, event: JsonEvent) -> None:
         """Take the next event; raise EndpointListError if no list continues like that."""
         name, value = event
         if name == "map_key":
-            if self._fields is not None:
-                self._key = value
+            if self._current_fields is not None:
+                self._current_key = value
         elif name in START_EVENTS:
-            self._begin(is_map=name == "start_map")
+            self._begin_value(is_map=name == "start_map")
         elif name in END_EVENTS:
-            self._end()
-        elif self._fields is not None:
-            self._fields[self._key] = value
-        elif self._within is not _Value.IGNORED:
+            self._end_value()
+        elif self._current_fields is not None:
+            self._current_fields[self._current_key] = value
+        elif self._context is not _JsonContext.IGNORED:
             raise EndpointListError(f"{value!r:.40} where an object belongs")
 
     @property
-    def held_count(self) -> int:
+    def stored_count(self) -> int:
         """The number of entries that are held so far."""
-        return len(self._held) + len(self._peers)
+        return len(self._stored) + len(self._peers)
 
     def result(self, cached: bool = False) -> EndpointList:
         """Return the list, once all of it has come; raise EndpointListError if it is none.
@@ -121,50 +121,50 @@
             kind = UpdateKind.CACHED if cached else UpdateKind.FULL
             if self.partition.partition_count > 1 and self._reader.has_cell_scope:
                 self._choose_deduplication_peers()
-        entries = [listed.endpoint for listed in self._held.values()]
+        entries = [listed.endpoint for listed in self._stored.values()]
         return EndpointList(
             EndpointListUpdate(kind, entries, version, self.partition.partition_count),
-            {backend: listed.address for backend, listed in self._held.items()},
+            {backend: listed.address for backend, listed in self._stored.items()},
         )
 
-    def _begin(self, is_map: bool) -> None:
-        self._enclosing.append(self._within)
-        if len(self._enclosing) > MAX_DEPTH:
+    def _begin_value(self, is_map: bool) -> None:
+        self._outer_contexts.append(self._context)
+        if len(self._outer_contexts) > MAX_DEPTH:
             raise EndpointListError("values nested too deep")
-        match self._within:
-            case _Value.DOCUMENT:
+        match self._context:
+            case _JsonContext.DOCUMENT:
                 if not is_map:
                     raise EndpointListError("no object")
-                self._enter(_Value.LIST)
-            case _Value.LIST if self._key == "targets":
+                self._set_context(_JsonContext.LIST)
+            case _JsonContext.LIST if self._current_key == "targets":
                 # An empty array stands for the entries, which are held elsewhere.
                 self._list_fields["targets"] = None if is_map else []
-                self._enter(_Value.IGNORED if is_map else _Value.TARGETS)
-            case _Value.TARGETS:
+                self._set_context(_JsonContext.IGNORED if is_map else _JsonContext.TARGETS)
+            case _JsonContext.TARGETS:
                 if not is_map:
                     raise EndpointListError("an array where an entry belongs")
                 self._entry_fields = {}
-                self._enter(_Value.ENTRY)
-            case _Value.ENTRY:
-                self._entry_fields[self._key] = None
-                self._enter(_Value.IGNORED)
+                self._set_context(_JsonContext.ENTRY)
+            case _JsonContext.ENTRY:
+                self._entry_fields[self._current_key] = None
+                self._set_context(_JsonContext.IGNORED)
             case _:
-                self._enter(_Value.IGNORED)
+                self._set_context(_JsonContext.IGNORED)
 
-    def _end(self) -> None:
-        ended = self._within
-        self._enter(self._enclosing.pop())
-        if ended is _Value.ENTRY:
+    def _end_value(self) -> None:
+        ended = self._context
+        self._set_context(self._outer_contexts.pop())
+        if ended is _JsonContext.ENTRY:
             self._add_entry(self._entry_fields)
 
-    def _enter(self, value: _Value) -> None:
-        self._within = value
-        if value is _Value.ENTRY:
-            self._fields = self._entry_fields
-        elif value is _Value.LIST:
-            self._fields = self._list_fields
+    def _set_context(self, value: _JsonContext) -> None:
+        self._context = value
+        if value is _JsonContext.ENTRY:
+            self._current_fields = self._entry_fields
+        elif value is _JsonContext.LIST:
+            self._current_fields = self._list_fields
         else:
-            self._fields = None
+            self._current_fields = None
 
     def _add_entry(self, raw: dict[str, Any]) -> None:
         self._entry_count += 1
@@ -172,14 +172,14 @@
             raise EndpointListError(f"more than {MAX_ENTRIES} entries")
         try:
             backend = backend_id(raw["uid"])
-            status = STATUSES[raw["state"]]
+            status = STATUS_BY_NAME[raw["state"]]
             if self.partition.holds(backend) or self._reader.is_deduplication_peer(backend):
-                self._held[backend] = self._reader.listed_backend(backend, status, raw)
+                self._stored[backend] = self._reader.parse_entry(backend, status, raw)
             elif self._reader.has_cell_scope:
                 # Most entries end here: only the few that are wanted are converted.
                 cell = int(raw.get("pod_group", 0))
-                if self._peers.wants(backend, status, cell):
-                    self._peers.add(self._reader.listed_backend(backend, status, raw))
+                if self._peers.is_candidate(backend, status, cell):
+                    self._peers.add(self._reader.parse_entry(backend, status, raw))
         except (KeyError, TypeError, AttributeError, OverflowError, ValueError) as error:
             raise EndpointListError(f"{raw!r:.200}: {error!r}") from error
         self._present_count += status is not EndpointStatus.GONE
@@ -187,10 +187,10 @@
             self._drop_other_partitions()
 
     def _drop_other_partitions(self) -> None:
-        for backend in [held for held in self._held if not self.partition.holds(held)]:
-            listed = self._held.pop(backend)
+        for backend in [held for held in self._stored if not self.partition.holds(held)]:
+            listed = self._stored.pop(backend)
             endpoint = listed.endpoint
-            if self._reader.has_cell_scope and self._peers.wants(
+            if self._reader.has_cell_scope and self._peers.is_candidate(
                 backend, endpoint.state, endpoint.cell
             ):
                 self._peers.add(listed)
@@ -202,19 +202,19 @@
         """
         cells: set[int] = set()
         peers_by_cell: dict[int, list[BackendId]] = {}
-        for backend, listed in self._held.items():
+        for backend, listed in self._stored.items():
             cell = listed.endpoint.cell
             if self.partition.holds(backend):
                 cells.add(cell)
             else:
                 peers_by_cell.setdefault(cell, []).append(backend)
         for cell, peers in peers_by_cell.items():
-            for backend in peers[DEDUPLICATION_PEERS if cell in cells else 0 :]:
-                del self._held[backend]
+            for backend in peers[DEDUPLICATION_PEERS_PER_CELL if cell in cells else 0 :]:
+                del self._stored[backend]
         for cell in cells:
-            missing = max(0, DEDUPLICATION_PEERS - len(peers_by_cell.get(cell, ())))
-            for listed in self._peers.first(cell, missing):
-                self._held[listed.endpoint.backend] = listed
+            missing = max(0, DEDUPLICATION_PEERS_PER_CELL - len(peers_by_cell.get(cell, ())))
+            for listed in self._peers.lowest_ranked(cell, missing):
+                self._stored[listed.endpoint.backend] = listed
 
 
 class EndpointListReader:
@@ -240,12 +240,12 @@
         self._gateways = gateways
         self._index = index
         self._partition_count = 1
-        self._held: dict[BackendId, None] = {}
-        self._held_in_partition = 0  # without the deduplication peers
+        self._known_backends: dict[BackendId, None] = {}
+        self._partition_backend_count = 0  # without the deduplication peers
 
     def is_deduplication_peer(self, backend: BackendId) -> bool:
         """Return whether a backend of another partition is held, as of the last list."""
-        return self.has_cell_scope and backend in self._held
+        return self.has_cell_scope and backend in self._known_backends
 
     def rank(self, backend: BackendId) -> int:
         """Return a backend's place in the order in which this gateway chooses its peers.
@@ -263,49 +263,51 @@
         """Take over an accepted list, and its partition for the lists that follow."""
         partition = parser.partition
         if update.kind is not UpdateKind.CHANGES:
-            self._held = {}
-            self._held_in_partition = 0
+            self._known_backends = {}
+            self._partition_backend_count = 0
             self.needs_repartitioning = False
         elif partition.partition_count != self._partition_count:
-            self._held = {backend: None for backend in self._held if partition.holds(backend)}
-            self._held_in_partition = len(self._held)
+            self._known_backends = {
+                backend: None for backend in self._known_backends if partition.holds(backend)
+            }
+            self._partition_backend_count = len(self._known_backends)
         self._partition_count = partition.partition_count
         for entry in update.entries:
-            was_held = entry.backend in self._held
+            was_held = entry.backend in self._known_backends
             is_present = entry.state is not EndpointStatus.GONE
             if is_present and not was_held:
-                self._held[entry.backend] = None
-                self._held_in_partition += partition.holds(entry.backend)
+                self._known_backends[entry.backend] = None
+                self._partition_backend_count += partition.holds(entry.backend)
             elif was_held and not is_present:
-                del self._held[entry.backend]
-                self._held_in_partition -= partition.holds(entry.backend)
-        if partition.needs_repartitioning(self._held_in_partition):
+                del self._known_backends[entry.backend]
+                self._partition_backend_count -= partition.holds(entry.backend)
+        if partition.needs_repartitioning(self._partition_backend_count):
             self.needs_repartitioning = True
 
     def read(self, data: bytes, cached: bool = False) -> EndpointList:
         """Read and adopt a list given as JSON; raise EndpointListError if it is none."""
         parser = self.new_parser()
-        decoder = IncrementalJson(parser)
+        decoder = IncrementalJsonDecoder(parser)
         decoder.feed(data)
         decoder.finish()
         endpoint_list = parser.result(cached)
         self.adopt(parser, endpoint_list.update)
         return endpoint_list
 
-    def listed_backend(
+    def parse_entry(
         self, backend: BackendId, status: EndpointStatus, raw: dict[str, Any]
     ) -> ListedBackend:
         """Convert an entry; raise KeyError, TypeError, ValueError or the like if that can't be."""
         size = float(raw.get("capacity_hint", 1.0))
         boot_ms = float(raw.get("boot_ms", 0))
-        if not (0 <= size < MAX_SIZE and 0 <= boot_ms < MAX_BOOT_MS):
+        if not (0 <= size < MAX_BACKEND_SIZE and 0 <= boot_ms < MAX_BOOT_MS):
             raise ValueError(f"a backend of size {size}, up since {boot_ms}")
         # boot_ms is Unix time, and so is the scale of the gateway's clock: see ingress.Clock.
         endpoint = Endpoint(
             backend,
             status,
-            self._zones.get(raw.get("az", ""), UNKNOWN_NAME),
-            self._machine_types.get(raw.get("model", ""), UNKNOWN_NAME),
+            self._zones.get(raw.get("az", ""), UNKNOWN_INDEX),
+            self._machine_types.get(raw.get("model", ""), UNKNOWN_INDEX),
             int(raw.get("pod_group", 0)),
             size,
             boot_ms,
--- a/sumacpost/discovery/incremental_json.py
+++ b/sumacpost/discovery/incremental_json.py
@@ -8,7 +8,7 @@
 
 from sumacpost.errors import EndpointListError
 
-MAX_SILENT_BYTES = 64 * 1024  # without an event: no list has so long a text or so much space
+MAX_BYTES_WITHOUT_EVENT = 64 * 1024  # no valid list has a string or white space of this length
 
 JsonEvent = tuple[str, Any]
 """An event of ijson: its name ("start_map", "map_key", "number" ...) and its value."""
@@ -21,7 +21,7 @@
         """Take the next event."""
 
 
-class IncrementalJson:
+class IncrementalJsonDecoder:
     """A JSON decoder that is fed pieces of a document and hands its events to a sink.
 
     What the sink raises passes through feed and finish.
@@ -30,12 +30,12 @@
     def __init__(self, sink: JsonSink) -> None:
         self._sink = sink
         self._decoder = ijson.basic_parse_coro(self, use_float=True)
-        self._silent_bytes = 0  # since the last event
-        self.size = 0  # bytes so far
+        self._bytes_since_event = 0  # since the last event
+        self.total_bytes = 0  # bytes so far
 
     def send(self, event: JsonEvent) -> None:
         """Pass on an event; called by the decoder."""
-        self._silent_bytes = 0
+        self._bytes_since_event = 0
         self._sink.send(event)
 
     def feed(self, data: bytes) -> None:
@@ -43,14 +43,14 @@
 
         Raise EndpointListError if it doesn't continue a JSON document.
         """
-        self.size += len(data)
-        self._silent_bytes += len(data)
+        self.total_bytes += len(data)
+        self._bytes_since_event += len(data)
         try:
             self._decoder.send(data)
         except ijson.JSONError as error:
             raise _not_json(error) from error
-        if self._silent_bytes > MAX_SILENT_BYTES:
-            raise EndpointListError(f"no value in {self._silent_bytes} bytes")
+        if self._bytes_since_event > MAX_BYTES_WITHOUT_EVENT:
+            raise EndpointListError(f"no value in {self._bytes_since_event} bytes")
 
     def finish(self) -> None:
         """End the document; raise EndpointListError if it is incomplete."""
--- a/sumacpost/discovery/start_times.py
+++ b/sumacpost/discovery/start_times.py
@@ -12,10 +12,10 @@
 
 from sumacpost.model import BackendId, Endpoint, EndpointListUpdate, EndpointStatus, UpdateKind
 
-MIN_INCARNATION_MS = 1.0  # between two starts of one backend
+MIN_START_INTERVAL_MS = 1.0  # between two starts of one backend
 
 
-class StartTimes:
+class StartTimeConverter:
     """Turns the starts that lists give into times of this machine's clock.
 
     The fleet's clock can't be asked. But a backend can't have started after discovery told of it,
@@ -31,10 +31,10 @@
 
     def __init__(self, now_ms: Callable[[], float]) -> None:
         self._now_ms = now_ms
-        self._ahead_ms = inf  # of the fleet's clock, at most
-        self._placed: dict[BackendId, tuple[float, float]] = {}  # starts by both clocks
+        self._clock_offset_ms = inf  # of the fleet's clock, at most
+        self._converted: dict[BackendId, tuple[float, float]] = {}  # starts by both clocks
 
-    def place(self, update: EndpointListUpdate, live: bool) -> None:
+    def convert(self, update: EndpointListUpdate, live: bool) -> None:
         """Replace the starts of an update's entries.
 
         live: discovery was heard before, so that a start that is new was told soon after it.
@@ -42,43 +42,45 @@
         now = self._now_ms()
         if update.kind in (UpdateKind.FULL, UpdateKind.CACHED):
             self._forget_unlisted(update.entries)
-        if live or _most_are_up_for_long(update.entries):
+        if live or _most_started_long_ago(update.entries):
             self._compare_clocks(now, update.entries)
         for entry in update.entries:
             if entry.state is EndpointStatus.GONE:
-                self._placed.pop(entry.backend, None)
+                self._converted.pop(entry.backend, None)
             elif entry.up_since_ms:
-                entry.up_since_ms = self._place(now, entry)
+                entry.up_since_ms = self._convert(now, entry)
 
     def _forget_unlisted(self, entries: Iterable[Endpoint]) -> None:
         listed = {entry.backend for entry in entries}
-        for backend in [backend for backend in self._placed if backend not in listed]:
-            del self._placed[backend]
+        for backend in [backend for backend in self._converted if backend not in listed]:
+            del self._converted[backend]
 
     def _compare_clocks(self, now: float, entries: Iterable[Endpoint]) -> None:
         for entry in entries:
             if entry.up_since_ms and not self._is_known(entry):
-                self._ahead_ms = min(self._ahead_ms, max(0.0, now - entry.up_since_ms))
+                self._clock_offset_ms = min(
+                    self._clock_offset_ms, max(0.0, now - entry.up_since_ms)
+                )
 
     def _is_known(self, entry: Endpoint) -> bool:
-        known = self._placed.get(entry.backend)
+        known = self._converted.get(entry.backend)
         return known is not None and known[0] == entry.up_since_ms
 
-    def _place(self, now: float, entry: Endpoint) -> float:
+    def _convert(self, now: float, entry: Endpoint) -> float:
         """Return a start by this machine's clock, the same each time that it is listed.
 
         A later start of the same backend gets a later time, whatever is thought of the clock now.
         """
         if not self._is_known(entry):
-            ahead_ms = self._ahead_ms if self._ahead_ms < inf else 0.0
-            start = min(now, entry.up_since_ms + ahead_ms)
-            boot_before, start_before = self._placed.get(entry.backend, (inf, 0.0))
-            if entry.up_since_ms > boot_before:
-                start = max(start, start_before + MIN_INCARNATION_MS)
-            self._placed[entry.backend] = (entry.up_since_ms, start)
-        return self._placed[entry.backend][1]
+            offset_ms = self._clock_offset_ms if self._clock_offset_ms < inf else 0.0
+            start = min(now, entry.up_since_ms + offset_ms)
+            previous_boot_ms, previous_start_ms = self._converted.get(entry.backend, (inf, 0.0))
+            if entry.up_since_ms > previous_boot_ms:
+                start = max(start, previous_start_ms + MIN_START_INTERVAL_MS)
+            self._converted[entry.backend] = (entry.up_since_ms, start)
+        return self._converted[entry.backend][1]
 
 
-def _most_are_up_for_long(entries: Sequence[Endpoint]) -> bool:
+def _most_started_long_ago(entries: Sequence[Endpoint]) -> bool:
     started = sum(1 for entry in entries if entry.up_since_ms)
     return 2 * started <= len(entries)
--- a/sumacpost/discovery/watch.py
+++ b/sumacpost/discovery/watch.py
@@ -23,8 +23,8 @@
     EndpointList,
     EndpointListReader,
 )
-from sumacpost.discovery.incremental_json import IncrementalJson
-from sumacpost.discovery.start_times import StartTimes
+from sumacpost.discovery.incremental_json import IncrementalJsonDecoder
+from sumacpost.discovery.start_times import StartTimeConverter
 from sumacpost.errors import EndpointListError, ResponseError
 from sumacpost.http1 import HTTP_OK, Response, ResponseReader
 from sumacpost.model import EndpointListUpdate, UpdateKind
@@ -64,25 +64,25 @@
         version: int,
         on_update: UpdateListener,
         drain_grace_s: float = inf,
-        start_times: StartTimes | None = None,
+        start_times: StartTimeConverter | None = None,
     ) -> None:
         self._address = address
         self._reader = reader
         self._on_update = on_update
-        self._start_times = start_times or StartTimes(Clock().now)
-        self._heard = False  # of discovery, in the life of this process
+        self._start_times = start_times or StartTimeConverter(Clock().now)
+        self._has_received_list = False  # of discovery, in the life of this process
         self._response_timeout_s = max(
             MIN_RESPONSE_TIMEOUT_S,
             min(RESPONSE_TIMEOUT_S, drain_grace_s * RESPONSE_TIMEOUT_GRACE_FRACTION),
         )
         self._backoff = PollBackoff()
         self._version: int | None = version  # of the last good list, if changes to it will do
-        self._wants_full_list = False  # though there is a version to poll from
+        self._needs_full_list = False  # though there is a version to poll from
         self._full_list_bytes = 0  # size of the last full list
         self._agent_available = True
         self._received_bytes = 0  # of the present response
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Poll another agent, beginning with the full list; run must be started anew."""
         self._address = address
         self._version = None
@@ -104,13 +104,13 @@
             while await self._poll(reader, writer):
                 pass
         except (OSError, TimeoutError, ValueError, ResponseError) as error:
-            return self._poll_failed(error)
+            return self._record_poll_failure(error)
         finally:
             if writer is not None:
                 writer.close()
         return self._backoff.next_delay(self._received_bytes, False, _now())
 
-    def _poll_failed(self, error: Exception) -> float:
+    def _record_poll_failure(self, error: Exception) -> float:
         malformed = isinstance(error, EndpointListError | ResponseError)
         delay_s = self._backoff.next_delay(self._received_bytes, malformed, _now())
         if self._received_bytes or self._agent_available:
@@ -138,39 +138,39 @@
     async def _poll(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Poll once; return whether the connection can be used again."""
         limited = self._backoff.is_limited(_now())
-        since = None if self._wants_full_list and not limited else self._version
+        since_version = None if self._needs_full_list and not limited else self._version
         hold_ms = LONG_POLL_MS if self._agent_available else RECOVERY_POLL_MS
-        writer.write(_request(since, hold_ms))
+        writer.write(_encode_poll(since_version, hold_ms))
         wait_s = self._response_timeout_s
-        if since is not None:
+        if since_version is not None:
             wait_s += hold_ms / 1000
         max_bytes = MAX_LIMITED_RESPONSE_BYTES if limited else MAX_LIST_BYTES
         parser = self._reader.new_parser()
-        decoder = IncrementalJson(parser)
+        decoder = IncrementalJsonDecoder(parser)
         self._received_bytes = 0
         try:
             response = await self._receive(reader, ResponseReader(max_bytes, decoder.feed), wait_s)
             _check_status(response)
             decoder.finish()
             endpoint_list = parser.result()
-            _check_continues(endpoint_list.update, since)
+            _check_version(endpoint_list.update, since_version)
         except (EndpointListError, ResponseError):
             # A full list holds whatever the response was to say. Where a long one can't be read,
             # changes to the last good list may still be.
-            self._wants_full_list = since is not None and (
+            self._needs_full_list = since_version is not None and (
                 self._full_list_bytes <= SMALL_LIST_BYTES or self._backoff.failures > 0
             )
             raise
         self._reader.adopt(parser, endpoint_list.update)
         if endpoint_list.update.kind is UpdateKind.FULL:
-            self._full_list_bytes = decoder.size
-        self._start_times.place(endpoint_list.update, live=self._heard)
-        self._heard = True
-        self._poll_succeeded(endpoint_list.update)
+            self._full_list_bytes = decoder.total_bytes
+        self._start_times.convert(endpoint_list.update, live=self._has_received_list)
+        self._has_received_list = True
+        self._record_poll_success(endpoint_list.update)
         await self._apply(endpoint_list)
         return response.keep_alive
 
-    def _poll_succeeded(self, update: EndpointListUpdate) -> None:
+    def _record_poll_success(self, update: EndpointListUpdate) -> None:
         if not self._agent_available:
             log.info("discovery recovered: version=%d", update.version)
         self._agent_available = True
@@ -181,11 +181,11 @@
         # Should the listener fail, it is to be handed the full list next.
         self._version = None
         if update.entries or update.kind is UpdateKind.FULL:
-            await self._hand_on(endpoint_list)
+            await self._notify_listener(endpoint_list)
         self._version = update.version
-        self._wants_full_list = self._reader.needs_repartitioning
+        self._needs_full_list = self._reader.needs_repartitioning
 
-    async def _hand_on(self, endpoint_list: EndpointList) -> None:
+    async def _notify_listener(self, endpoint_list: EndpointList) -> None:
         """Call the listener, with a long list in batches of changes first, then as it is.
 
         The last call finds little left to do, so that none holds the event loop for long.
@@ -230,9 +230,9 @@
     return asyncio.get_running_loop().time()
 
 
-def _request(since: int | None, hold_ms: int) -> bytes:
+def _encode_poll(since_version: int | None, hold_ms: int) -> bytes:
     """Return a poll for changes since a version, or for the full list."""
-    query = "" if since is None else f"?from={since}&hold_ms={hold_ms}"
+    query = "" if since_version is None else f"?from={since_version}&hold_ms={hold_ms}"
     return f"GET /v1/servers{query} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode()
 
 
@@ -241,7 +241,9 @@
         raise EndpointListError(f"the agent answered with status {response.status}")
 
 
-def _check_continues(update: EndpointListUpdate, since: int | None) -> None:
+def _check_version(update: EndpointListUpdate, since_version: int | None) -> None:
     """Raise EndpointListError for changes that were not polled for, or to an earlier version."""
-    if update.kind is UpdateKind.CHANGES and (since is None or update.version < since):
+    if update.kind is UpdateKind.CHANGES and (
+        since_version is None or update.version < since_version
+    ):
         raise EndpointListError(f"changes up to version {update.version} do not fit")
--- a/sumacpost/service.py
+++ b/sumacpost/service.py
@@ -17,7 +17,7 @@
 from sumacpost.clock import Clock
 from sumacpost.config import Config, load_config, load_config_in_steps
 from sumacpost.diagnostics.log_stream import log_to_standard_error, reserve_standard_descriptors
-from sumacpost.discovery.start_times import StartTimes
+from sumacpost.discovery.start_times import StartTimeConverter
 from sumacpost.discovery.watch import DiscoveryWatch
 from sumacpost.errors import ConfigError
 from sumacpost.ingress import Ingress, max_connections_per_side
@@ -56,8 +56,8 @@
 
     def __init__(self, config: Config) -> None:
         self._config = config
-        start_times = StartTimes(Clock().now)
-        start_times.place(config.initial_endpoints, live=False)
+        start_times = StartTimeConverter(Clock().now)
+        start_times.convert(config.initial_endpoints, live=False)
         self._ingress = Ingress(config)
         self._ingress.update_endpoints(config.initial_endpoints, config.initial_addresses)
         self._server = Server(
@@ -115,7 +115,7 @@
     def reload(self, config: Config) -> None:
         """Use the addresses of another configuration; anything else in it needs a restart."""
         log.info("configuration reloaded: discovery=%s:%d", *config.discovery)
-        self._discovery.move(config.discovery)
+        self._discovery.change_address(config.discovery)
         if self._discovery_task is not None:
             self._discovery_task.restart()
         counter = self._ingress.counter
@@ -168,7 +168,7 @@
         """Close idle connections at regular intervals, for ever."""
         while True:
             await asyncio.sleep(MAINTENANCE_INTERVAL_S)
-            self._ingress.backends.sweep()
+            self._ingress.backends.close_stale_connections()
             self._server.enforce_timeouts()
 
 
--- a/sumacpost/upstream/attempt.py
+++ b/sumacpost/upstream/attempt.py
@@ -29,7 +29,7 @@
         """Take an attempt out that has not been written."""
 
 
-class AttemptCarrier(Protocol):
+class AttemptConnection(Protocol):
     """What an attempt is written on: a connection."""
 
     def abandon_attempt(self) -> None:
@@ -50,7 +50,7 @@
     outcome: Outcome | None = None  # noted by the owner
     written: bool = False  # bytes of it have been handed to a connection
     pool: AttemptQueue | None = None
-    connection: AttemptCarrier | None = None  # only while it is in flight
+    connection: AttemptConnection | None = None  # only while it is in flight
     connect_task: asyncio.Task[None] | None = None  # only while that may be cancelled
 
     @property
@@ -63,7 +63,7 @@
         """Whether no outcome of it will be reported any more."""
         return self.state is AttemptState.ENDED
 
-    def end(self) -> bool:
+    def mark_ended(self) -> bool:
         """Mark it as ended; return False if it had ended before."""
         self.connection = None
         if self.state is AttemptState.ENDED:
@@ -75,7 +75,7 @@
 AttemptEndedCallback = Callable[[Attempt, Outcome, Response | None], None]
 
 
-def outcome_of(response: Response) -> Outcome:
+def classify_response(response: Response) -> Outcome:
     """Return the outcome of a complete response by its status and its Not-Started header.
 
     A status that the protocol does not name counts as an error: the request may have run.
--- a/sumacpost/upstream/connection.py
+++ b/sumacpost/upstream/connection.py
@@ -15,7 +15,7 @@
 from sumacpost.http1 import Response, ResponseReader
 from sumacpost.model import Outcome
 from sumacpost.timer import Timer
-from sumacpost.upstream.attempt import Attempt, AttemptState, outcome_of
+from sumacpost.upstream.attempt import Attempt, AttemptState, classify_response
 from sumacpost.upstream.reuse_limit import ReuseLimit
 
 log = logging.getLogger(__name__)
@@ -54,10 +54,10 @@
     reuse_limit: ReuseLimit
     recorder: EventRecorder
 
-    def park_idle(self, connection: BackendConnection) -> None:
+    def add_idle(self, connection: BackendConnection) -> None:
         """Keep a connection that is free for another attempt."""
 
-    def forget(self, connection: BackendConnection) -> None:
+    def remove_connection(self, connection: BackendConnection) -> None:
         """Drop a connection that is closing."""
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
@@ -101,7 +101,7 @@
         if self._state is ConnectionState.WRITING:
             self._state = ConnectionState.WRITTEN
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Return whether another request may be written.
 
         Looks at the socket itself: the peer may have closed it without the loop having read that.
@@ -131,11 +131,11 @@
             self._stall_timer = None
         if response is None:
             # a wrong Content-Length may promise bytes that never come on a connection kept open
-            self._stall_timer = Timer(RESPONSE_STALL_TIMEOUT_S, self._response_stalled)
+            self._stall_timer = Timer(RESPONSE_STALL_TIMEOUT_S, self._on_response_stalled)
             return
         # after a response that overtook the request's last byte the connection can't be reused
         reusable = response.keep_alive and self._state is ConnectionState.WRITTEN
-        self._end_attempt(outcome_of(response), response, reusable)
+        self._end_attempt(classify_response(response), response, reusable)
 
     def eof_received(self) -> None:
         """End the attempt with its response, if the end of the backend's sending completes that.
@@ -144,7 +144,7 @@
         """
         response = self._reader.feed_eof()
         if response is not None and self.attempt is not None:
-            self._end_attempt(outcome_of(response), response, reusable=False)
+            self._end_attempt(classify_response(response), response, reusable=False)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the attempt in flight, if there is one."""
@@ -165,7 +165,7 @@
         self._state = ConnectionState.CLOSED
         if self._stall_timer is not None:
             self._stall_timer.cancel()
-        self._pool.forget(self)
+        self._pool.remove_connection(self)
         # the transport closes only in the next turn of the loop, and the backend should know before
         # another attempt of the same request is written
         with suppress(OSError):
@@ -182,7 +182,7 @@
         log.warning("response rejected: backend=%s:%d error=%s", host, port, error)
         self._fail(CloseReason.INVALID_RESPONSE)
 
-    def _response_stalled(self) -> None:
+    def _on_response_stalled(self) -> None:
         host, port = self._pool.endpoint
         log.warning(
             "response stalled: backend=%s:%d timeout_s=%s", host, port, RESPONSE_STALL_TIMEOUT_S
@@ -211,7 +211,7 @@
         if reusable:
             self._state = ConnectionState.IDLE
             self._pool.reuse_limit.record_success()
-            self._pool.park_idle(self)
+            self._pool.add_idle(self)
         else:
             self.close(CloseReason.RESPONSE_WAS_LAST)
         if attempt is not None:
--- a/sumacpost/upstream/pool.py
+++ b/sumacpost/upstream/pool.py
@@ -56,7 +56,7 @@
     def start(self, attempt: Attempt) -> None:
         """Write an attempt on the connection used last, or on a new one."""
         attempt.pool = self
-        if attempt.retryable or self.reuse_limit.trusted:
+        if attempt.retryable or self.reuse_limit.allows_non_retryable:
             connection = self._take_reusable()
             if connection is not None:
                 connection.start(attempt)
@@ -66,9 +66,9 @@
         loop = asyncio.get_running_loop()
         if self._owner.reserve_connection():
             attempt.connect_task = loop.create_task(self._connect(attempt))
-            attempt.connect_task.add_done_callback(self._connect_done)
+            attempt.connect_task.add_done_callback(self._on_connect_done)
         else:
-            loop.call_soon(self._connect_failed, attempt)
+            loop.call_soon(self._on_connect_failed, attempt)
 
     def remove_waiting(self, attempt: Attempt) -> None:
         """Take an attempt out that has not been written; its new connection is not waited for."""
@@ -77,7 +77,7 @@
         if attempt.connect_task is not None:
             attempt.connect_task.cancel()
 
-    def reject_waiting(self) -> None:
+    def skip_waiting(self) -> None:
         """End all attempts that have not been written: the backend takes no new requests.
 
         A new connection could come up only after the time that a draining backend gives. The
@@ -91,7 +91,7 @@
                 attempt.connect_task.cancel()
             loop.call_soon(self.end_attempt, attempt, Outcome.SKIPPED, None)
 
-    def park_idle(self, connection: BackendConnection) -> None:
+    def add_idle(self, connection: BackendConnection) -> None:
         """Keep a free connection; after the reuse delay the attempt waiting longest gets it."""
         if self._retired:
             connection.close(CloseReason.RETIRED)
@@ -104,10 +104,10 @@
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
         """Report the outcome of an attempt, unless it has ended before."""
-        if attempt.end():
+        if attempt.mark_ended():
             self._owner.on_attempt_ended(attempt, outcome, response)
 
-    def forget(self, connection: BackendConnection) -> None:
+    def remove_connection(self, connection: BackendConnection) -> None:
         """Drop a connection that is closing."""
         self._owner.release_connection()
         if connection in self.idle:
@@ -121,18 +121,18 @@
     def retire(self) -> None:
         """Close the pool: attempts in flight go on, and their connections close with them."""
         self._retired = True
-        self.reject_waiting()
+        self.skip_waiting()
         while self.idle:
             self.idle[0].close(CloseReason.RETIRED)
 
     def _take_reusable(self) -> BackendConnection | None:
         """Take the connection used last out of those that may be reused now."""
         now = asyncio.get_running_loop().time()
-        self.close_idle(now - self.reuse_limit.max_age_s)
+        self.close_idle(now - self.reuse_limit.max_reuse_idle_s)
         for connection in list(reversed(self.idle)):
             if connection.idle_since > now - REUSE_DELAY_S:
                 continue
-            if connection.usable():
+            if connection.is_usable():
                 self.idle.remove(connection)
                 return connection
             connection.close(CloseReason.STALE)
@@ -156,18 +156,18 @@
         except (OSError, TimeoutError):
             attempt.connect_task = None
             self._owner.release_connection()
-            self._connect_failed(attempt)
+            self._on_connect_failed(attempt)
             return
         # not for whichever attempt has waited longest: this one would be left with no connection
         # on its way
         if attempt.state is not AttemptState.WAITING or not self._owner.may_write(attempt):
-            self.park_idle(connection)
-        elif connection.usable():
+            self.add_idle(connection)
+        elif connection.is_usable():
             self.waiting.remove(attempt)
             connection.start(attempt)
         else:
             connection.close(CloseReason.STALE)
-            self._connect_failed(attempt)
+            self._on_connect_failed(attempt)
 
     async def _open_connection(self, attempt: Attempt) -> BackendConnection:
         """Connect within the timeout; raise OSError or TimeoutError if that fails."""
@@ -175,7 +175,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         connection = None
         try:
-            await self._connect_in_time(sock)
+            await self._connect_with_timeout(sock)
             # no longer to be cancelled: the connection would be released twice
             attempt.connect_task = None
             _, connection = await loop.create_connection(
@@ -186,7 +186,7 @@
             if connection is None:
                 sock.close()
 
-    async def _connect_in_time(self, sock: socket.socket) -> None:
+    async def _connect_with_timeout(self, sock: socket.socket) -> None:
         """Connect a socket; raise OSError or TimeoutError if that fails."""
         try:
             async with asyncio.timeout(self._owner.connect_timeout_s):
@@ -196,12 +196,12 @@
             if not _is_connected(sock):
                 raise
 
-    def _connect_done(self, task: asyncio.Task[None]) -> None:
+    def _on_connect_done(self, task: asyncio.Task[None]) -> None:
         """Release the connection of a task that was cancelled, perhaps before its first step."""
         if task.cancelled():
             self._owner.release_connection()
 
-    def _connect_failed(self, attempt: Attempt) -> None:
+    def _on_connect_failed(self, attempt: Attempt) -> None:
         """End an attempt for which no connection came up, if no other has served it."""
         if attempt.state is AttemptState.WAITING:
             self.waiting.remove(attempt)
--- a/sumacpost/upstream/pool_manager.py
+++ b/sumacpost/upstream/pool_manager.py
@@ -73,7 +73,7 @@
         """
         for entry in update.entries:
             if entry.state is EndpointStatus.DRAINING and entry.backend in self._pools:
-                self._pools[entry.backend].reject_waiting()
+                self._pools[entry.backend].skip_waiting()
         gone = [entry.backend for entry in update.entries if entry.state is EndpointStatus.GONE]
         if update.kind in (UpdateKind.FULL, UpdateKind.CACHED):
             listed = {entry.backend for entry in update.entries}
@@ -93,7 +93,7 @@
             attempt.connection.abandon_attempt()
         elif attempt.pool is not None:
             attempt.pool.remove_waiting(attempt)
-        attempt.end()
+        attempt.mark_ended()
 
     def skip(self, attempt: Attempt) -> None:
         """End an attempt that is not to be written; its outcome is reported, though not at once."""
@@ -103,12 +103,12 @@
         asyncio.get_running_loop().call_soon(self._report_skipped, attempt)
 
     def _report_skipped(self, attempt: Attempt) -> None:
-        if attempt.end():
+        if attempt.mark_ended():
             self.on_attempt_ended(attempt, Outcome.SKIPPED, None)
 
     def reserve_connection(self) -> bool:
         """Count a new connection; return False if the bound does not allow one."""
-        if self.open_connections >= self._max_connections and not self._evict():
+        if self.open_connections >= self._max_connections and not self._evict_longest_idle():
             return False
         self.open_connections += 1
         return True
@@ -117,7 +117,7 @@
         """Count a connection as closed."""
         self.open_connections -= 1
 
-    def sweep(self) -> None:
+    def close_stale_connections(self) -> None:
         """Close idle connections before the backends do.
 
         A request that crosses the close by a backend would end as a reset.
@@ -131,7 +131,7 @@
         for pool in self._pools.values():
             pool.retire()
 
-    def _evict(self) -> bool:
+    def _evict_longest_idle(self) -> bool:
         """Close the connection that has been idle longest; return False if none is idle."""
         oldest_idle = (pool.idle[0] for pool in self._pools.values() if pool.idle)
         candidate = min(oldest_idle, key=lambda idle: idle.idle_since, default=None)
--- a/tests/discovery/lists.py
+++ b/tests/discovery/lists.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from sumacpost.discovery.endpoint_list import EndpointList, EndpointListReader
-from sumacpost.discovery.incremental_json import IncrementalJson
+from sumacpost.discovery.incremental_json import IncrementalJsonDecoder
 from tests.support.discovery_agent import Entry, endpoint_list
 
 CELL_SIZE = 30  # backends
@@ -52,7 +52,7 @@
 def read_pieces(reader: EndpointListReader, pieces: Iterable[bytes]) -> EndpointList:
     """Read and adopt a list that comes in pieces."""
     parser = reader.new_parser()
-    decoder = IncrementalJson(parser)
+    decoder = IncrementalJsonDecoder(parser)
     for piece in pieces:
         decoder.feed(piece)
     decoder.finish()
--- a/tests/discovery/test_backoff.py
+++ b/tests/discovery/test_backoff.py
@@ -47,5 +47,5 @@
         backoff.next_delay(15_000_000, malformed=False, now=0.0)
         limits.append(round(backoff.limited_until))
     assert limits == [60, 120, 240, 480, 960, 1920, 3840, 5000, 5000]
-    watch.move(("127.0.0.1", 2))
+    watch.change_address(("127.0.0.1", 2))
     assert not backoff.is_limited(0.0)
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -10,9 +10,9 @@
 
 from sumacpost.config import load_config
 from sumacpost.discovery import endpoint_list
-from sumacpost.discovery.deduplication_peers import DEDUPLICATION_PEERS
+from sumacpost.discovery.deduplication_peers import DEDUPLICATION_PEERS_PER_CELL
 from sumacpost.discovery.endpoint_list import EndpointListReader, backend_id
-from sumacpost.discovery.incremental_json import IncrementalJson
+from sumacpost.discovery.incremental_json import IncrementalJsonDecoder
 from sumacpost.errors import EndpointListError
 from sumacpost.model import Endpoint, EndpointListUpdate, Outcome, Send, UpdateKind
 from sumacpost.policy.gateway import Gateway
@@ -53,15 +53,15 @@
 def test_only_the_gateways_partition_of_a_long_list_is_held_at_any_time() -> None:
     reader = EndpointListReader((), (), GATEWAYS, 77)
     parser = reader.new_parser()
-    decoder = IncrementalJson(parser)
-    most_held = 0
+    decoder = IncrementalJsonDecoder(parser)
+    most_stored = 0
     for piece in pieces_of(encode(full_list(20_000)), 8192):
         decoder.feed(piece)
-        most_held = max(most_held, parser.held_count)
+        most_stored = max(most_stored, parser.stored_count)
     decoder.finish()
     update, addresses = parser.result()
     reader.adopt(parser, update)
-    assert most_held <= 1.1 * MAX_PARTITION_BACKENDS  # partitions differ a little in size
+    assert most_stored <= 1.1 * MAX_PARTITION_BACKENDS  # partitions differ a little in size
     assert update.partition_count == 32
     assert {entry.backend for entry in update.entries} == set(addresses)
     assert all(parser.partition.holds(entry.backend) for entry in update.entries)
@@ -90,9 +90,11 @@
     peers = [entry for entry in update.entries if not partition.holds(entry.backend)]
     assert update.partition_count == 64
     assert len(inside) <= MAX_PARTITION_BACKENDS
-    assert len(peers) <= DEDUPLICATION_PEERS * len(inside)
+    assert len(peers) <= DEDUPLICATION_PEERS_PER_CELL * len(inside)
     peers_by_cell = Counter(entry.cell for entry in peers)
-    assert peers_by_cell == dict.fromkeys({entry.cell for entry in inside}, DEDUPLICATION_PEERS)
+    assert peers_by_cell == dict.fromkeys(
+        {entry.cell for entry in inside}, DEDUPLICATION_PEERS_PER_CELL
+    )
 
     other_reader = EndpointListReader((), (), GATEWAYS, 77 + 64, has_cell_scope=True)
     other = other_reader.read(encode(full_list(33_000))).update
@@ -154,7 +156,7 @@
 ) -> None:
     monkeypatch.setattr(endpoint_list, "MAX_ENTRIES", 500)
     beginning, continuation = ENDLESS_LISTS[form]
-    decoder = IncrementalJson(reader.new_parser())
+    decoder = IncrementalJsonDecoder(reader.new_parser())
     fed = 0
 
     def feed_all() -> None:
@@ -201,7 +203,7 @@
     last = reader.read(encode(full_list(3))).update
     with pytest.raises(EndpointListError):
         read_pieces(reader, pieces_of(invalid, 4096))
-    assert len(reader._held) == 3 == len(last.entries)
+    assert len(reader._known_backends) == 3 == len(last.entries)
 
 
 def test_the_long_list_of_a_configuration_is_held_in_part(tmp_path: Path) -> None:
--- a/tests/discovery/test_start_times.py
+++ b/tests/discovery/test_start_times.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from sumacpost.discovery.start_times import StartTimes
+from sumacpost.discovery.start_times import StartTimeConverter
 from sumacpost.model import Endpoint, EndpointListUpdate, EndpointStatus, UpdateKind
 
 FLEET_NOW_MS = 1_800_000_000_000.0
@@ -23,12 +23,12 @@
     def __init__(self, ahead_ms: float) -> None:
         self.ahead_ms = ahead_ms
         self.fleet_now_ms = FLEET_NOW_MS
-        self.starts = StartTimes(lambda: self.fleet_now_ms + self.ahead_ms)
+        self.converter = StartTimeConverter(lambda: self.fleet_now_ms + self.ahead_ms)
 
     def ages_ms(self, *boots: float, kind: UpdateKind, live: bool = True) -> list[float]:
         """Return how old backends with these starts seem when a list names them."""
         entries = [Endpoint(number, up_since_ms=boot) for number, boot in enumerate(boots)]
-        self.starts.place(EndpointListUpdate(kind, entries), live)
+        self.converter.convert(EndpointListUpdate(kind, entries), live)
         now = self.fleet_now_ms + self.ahead_ms
         return [now - entry.up_since_ms for entry in entries]
 
@@ -87,19 +87,19 @@
     machine.fleet_now_ms += 60_000
     assert machine.told_ms(FLEET_NOW_MS + 59_900) == pytest.approx(0, abs=300)
     entry = Endpoint(9, up_since_ms=LONG_AGO)
-    machine.starts.place(EndpointListUpdate(UpdateKind.CHANGES, [entry]), live=True)
+    machine.converter.convert(EndpointListUpdate(UpdateKind.CHANGES, [entry]), live=True)
     assert entry.up_since_ms == LONG_AGO
 
 
 def test_a_later_start_of_a_backend_is_placed_later_though_the_clock_is_thought_better() -> None:
     machine = Machine(0.0)
     late, other = Endpoint(1, up_since_ms=FLEET_NOW_MS - 10_000), Endpoint(2)
-    machine.starts.place(EndpointListUpdate(UpdateKind.CHANGES, [late]), live=True)
+    machine.converter.convert(EndpointListUpdate(UpdateKind.CHANGES, [late]), live=True)
     machine.fleet_now_ms += 1000
     other.up_since_ms = FLEET_NOW_MS + 900
-    machine.starts.place(EndpointListUpdate(UpdateKind.CHANGES, [other]), live=True)
+    machine.converter.convert(EndpointListUpdate(UpdateKind.CHANGES, [other]), live=True)
     again = Endpoint(1, up_since_ms=FLEET_NOW_MS - 2000)
-    machine.starts.place(EndpointListUpdate(UpdateKind.CHANGES, [again]), live=True)
+    machine.converter.convert(EndpointListUpdate(UpdateKind.CHANGES, [again]), live=True)
     assert again.up_since_ms > late.up_since_ms
 
 
@@ -107,7 +107,7 @@
     machine = Machine(HOUR_MS)
     machine.told_ms(FLEET_NOW_MS - 300)
     gone = Endpoint(0, EndpointStatus.GONE, up_since_ms=FLEET_NOW_MS - 300)
-    machine.starts.place(EndpointListUpdate(UpdateKind.CHANGES, [gone]), live=True)
+    machine.converter.convert(EndpointListUpdate(UpdateKind.CHANGES, [gone]), live=True)
     machine.told_ms(FLEET_NOW_MS)
-    machine.starts.place(EndpointListUpdate(UpdateKind.FULL, []), live=True)
-    assert not machine.starts._placed
+    machine.converter.convert(EndpointListUpdate(UpdateKind.FULL, []), live=True)
+    assert not machine.converter._converted
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -45,11 +45,11 @@
             outcomes = Outcomes(peer.port)
             await outcomes.outcome()
             connection = outcomes.backends._pools[1].idle[-1]
-            assert connection.usable()
+            assert connection.is_usable()
             # the close happens at the other end while this loop does nothing else
             other = peer.writers[0].transport.get_extra_info("socket")
             socket.socket(fileno=socket.dup(other.fileno())).shutdown(socket.SHUT_RDWR)
-            assert not connection.usable()
+            assert not connection.is_usable()
             assert (await outcomes.outcome())[0] is Outcome.OK
             assert peer.connections == 2
 
@@ -72,7 +72,8 @@
             second = outcomes.start()
             peer.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             await until(lambda: first.ended and second.connection is not None)
-            outcomes.backends._pools[1]._connect_failed(second)  # its own connection fails in vain
+            # the failure of the new connection must not end the attempt
+            outcomes.backends._pools[1]._on_connect_failed(second)
             await until(lambda: len(peer.requests) == 2)
             assert peer.connections == 1
             assert not second.ended
@@ -91,7 +92,7 @@
             pool.waiting.append(first)  # its connection has not come up yet
             assert (await outcomes.outcome())[0] is Outcome.OK
             await until(lambda: first.ended)  # after the reuse delay
-            pool._connect_failed(first)
+            pool._on_connect_failed(first)
             assert [o for a, o, _ in outcomes.ended if a is first] == [Outcome.OK]
             assert peer.connections == 1
 
@@ -149,7 +150,7 @@
             await outcomes.outcome()
             assert outcomes.backends.open_connections == 1
             await asyncio.sleep(0.01)
-            outcomes.backends.sweep()
+            outcomes.backends.close_stale_connections()
             assert outcomes.backends.open_connections == 0
             await until(lambda: peer.closed == 1)
 
--- a/tests/upstream/test_reuse_limit.py
+++ b/tests/upstream/test_reuse_limit.py
@@ -6,9 +6,9 @@
 
 from sumacpost.upstream.reuse_limit import (
     IDLE_TIMEOUT_FRACTION,
-    MIN_REUSE_AGE_S,
+    MIN_REUSE_IDLE_S,
+    NON_RETRYABLE_REUSE_IDLE_S,
     STALE_RESET_WINDOW_S,
-    TRUSTED_REUSE_AGE_S,
     ReuseLimit,
 )
 
@@ -22,34 +22,34 @@
 
 
 def test_the_limit_starts_well_below_the_backends_idle_timeout(limit: ReuseLimit) -> None:
-    assert limit.max_age_s == BACKEND_IDLE_TIMEOUT_S * IDLE_TIMEOUT_FRACTION
-    assert limit.trusted
+    assert limit.max_reuse_idle_s == BACKEND_IDLE_TIMEOUT_S * IDLE_TIMEOUT_FRACTION
+    assert limit.allows_non_retryable
 
 
 def test_a_stale_connection_puts_the_limit_below_its_idle_time(limit: ReuseLimit) -> None:
     limit.record_reset(idle_s=5.0, elapsed_s=AT_ONCE_S)
-    assert limit.max_age_s == pytest.approx(4.0)
+    assert limit.max_reuse_idle_s == pytest.approx(4.0)
     limit.record_reset(idle_s=9.0, elapsed_s=AT_ONCE_S)  # older than the limit by then
-    assert limit.max_age_s == pytest.approx(3.2)
+    assert limit.max_reuse_idle_s == pytest.approx(3.2)
 
 
 def test_a_late_reset_is_not_taken_for_a_stale_connection(limit: ReuseLimit) -> None:
-    before = limit.max_age_s
+    before = limit.max_reuse_idle_s
     limit.record_reset(idle_s=5.0, elapsed_s=STALE_RESET_WINDOW_S)
-    assert limit.max_age_s == before
+    assert limit.max_reuse_idle_s == before
 
 
 def test_the_limit_has_a_minimum_that_is_not_trusted(limit: ReuseLimit) -> None:
     limit.record_reset(idle_s=0.0, elapsed_s=AT_ONCE_S)
-    assert limit.max_age_s == MIN_REUSE_AGE_S
-    assert not limit.trusted
+    assert limit.max_reuse_idle_s == MIN_REUSE_IDLE_S
+    assert not limit.allows_non_retryable
 
 
 def test_good_responses_restore_the_limit_little_by_little(limit: ReuseLimit) -> None:
-    limit.record_reset(idle_s=TRUSTED_REUSE_AGE_S, elapsed_s=AT_ONCE_S)
-    reduced_s = limit.max_age_s
+    limit.record_reset(idle_s=NON_RETRYABLE_REUSE_IDLE_S, elapsed_s=AT_ONCE_S)
+    reduced_s = limit.max_reuse_idle_s
     limit.record_success()
-    assert reduced_s < limit.max_age_s < 1.05 * reduced_s
+    assert reduced_s < limit.max_reuse_idle_s < 1.05 * reduced_s
     for _ in range(1000):
         limit.record_success()
-    assert limit.max_age_s == limit.max_idle_s
+    assert limit.max_reuse_idle_s == limit.max_idle_s
