--- a/sumacpost/diagnostics/event_recorder.py
+++ b/sumacpost/diagnostics/event_recorder.py
@@ -84,14 +84,16 @@
         if self.logs_live:
             log.info("%s", event)
 
-    def violation(self, rule: str, subject: object, detail: str = "", *values: object) -> None:
+    def record_violation(
+        self, rule: str, subject: object, detail: str = "", *values: object
+    ) -> None:
         """Record that a rule has been broken, or would have been, by a fault of the program."""
         self.record(EventKind.VIOLATION, rule, subject, detail, *values)
         log.error("rule violated: subject=%s rule=%s " + detail, subject, rule, *values)
         self.log_history(subject)
 
     @property
-    def violations(self) -> int:
+    def violation_count(self) -> int:
         """How many violations there have been."""
         counts = self.counts.items()
         return sum(count for (kind, _), count in counts if kind is EventKind.VIOLATION)
--- a/sumacpost/http1.py
+++ b/sumacpost/http1.py
@@ -65,7 +65,7 @@
         self.on_message_begin()
 
     @property
-    def response_begun(self) -> bool:
+    def response_started(self) -> bool:
         """Whether bytes of a response have come that is not complete."""
         return self._headers_done or self._head_size > 0
 
--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -25,7 +25,7 @@
     EndpointListUpdate,
     Event,
     Fail,
-    Obstacle,
+    NotSentReason,
     Outcome,
     Reject,
     RequestCancelled,
@@ -33,7 +33,7 @@
     SetTimer,
     TimerFired,
 )
-from sumacpost.pending_request import Headers, PendingRequest, PendingResponse
+from sumacpost.pending_request import Headers, PendingResponse, ProxiedRequest
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.shutdown import ShutdownSchedule, shutdown_schedule
 from sumacpost.request_recorder import RequestRecorder
@@ -53,7 +53,7 @@
 # turn, so a later reply is as true. Calls of many gateways queue there, for two or three timeouts.
 COUNTER_TIMEOUT_FACTOR = 4.0
 # Most of these timers fire for requests that have their response, and cost as little as they may.
-HEDGE_TIMER_LATE_S = 0.005
+HEDGE_TIMER_LATENESS_S = 0.005
 # Of the process: listening, discovery, counter, event loop, standard streams.
 RESERVED_SOCKETS = 48
 
@@ -77,7 +77,7 @@
             max_connections=max_connections_per_side(config),
             connect_timeout_s=config.connect_timeout_s,
             backend_idle_timeout_s=config.backend_idle_timeout_s,
-            on_attempt_ended=self._attempt_ended,
+            on_attempt_ended=self._on_attempt_ended,
             max_body_bytes=config.max_response_bytes,
             may_write=self._may_write,
             recorder=self.recorder,
@@ -91,7 +91,7 @@
         self._gateway = Gateway(settings, config.seed)
         self._load_reports = LoadReportReader(settings.report_fields)
         self._max_units = settings.max_units
-        self._pending: dict[int, PendingRequest] = {}  # those without a final response
+        self._pending: dict[int, ProxiedRequest] = {}  # those without a final response
         self._pending_ids: set[bytes] = set()
         self._last_number = 0
         self._shutdown_schedule = shutdown_schedule(settings.classes)
@@ -109,7 +109,7 @@
         self.backends.apply_update(update)
         self.ready = self.ready or bool(endpoints)
 
-    def start_request(self, request: Request, response: PendingResponse) -> PendingRequest:
+    def start_request(self, request: Request, response: PendingResponse) -> ProxiedRequest:
         """Take a request; it gets its one final response before the client's deadline.
 
         Raise RequestError if a request of the same id is pending: backends would take the one for a
@@ -126,25 +126,25 @@
         arrival = request.arrival
         arrival.request = self._last_number
         arrival.time_left_ms = max(1.0, min(client_left_ms, self._drain_deadline - now))
-        pending = PendingRequest(
+        pending = ProxiedRequest(
             arrival.request, request, response, deadline=now + arrival.time_left_ms
         )
         self._pending[pending.number] = pending
-        self._requests.accepted(pending, draining=self._drain_deadline < inf)
+        self._requests.record_accepted(pending, draining=self._drain_deadline < inf)
         self._handle(arrival)
         if pending.number in self._pending:
             self._set_deadline_timer(pending, arrival.time_left_ms)
         return pending
 
-    def _set_deadline_timer(self, pending: PendingRequest, time_left_ms: float) -> None:
+    def _set_deadline_timer(self, pending: ProxiedRequest, time_left_ms: float) -> None:
         if pending.timer is not None:
             pending.timer.cancel()
-        pending.timer = Timer(time_left_ms / 1000 + TIMER_SLACK_S, self._deadline_reached, pending)
+        pending.timer = Timer(time_left_ms / 1000 + TIMER_SLACK_S, self._on_deadline, pending)
 
-    def cancel_request(self, pending: PendingRequest) -> None:
+    def cancel_request(self, pending: ProxiedRequest) -> None:
         """Drop a request whose client has gone."""
         if self._remove_pending(pending):
-            self._requests.cancelled(pending)
+            self._requests.record_cancelled(pending)
             self._handle(RequestCancelled(pending.number))
             self._cancel_remaining(pending)
 
@@ -166,17 +166,19 @@
             if pending.deadline > self._drain_deadline:
                 pending.deadline = self._drain_deadline
                 self._set_deadline_timer(pending, schedule.respond_within_ms)
-            self._requests.pending_in_drain(pending)
+            self._requests.record_pending_in_drain(pending)
         return schedule
 
     def check_drained(self) -> None:
         """Record a violation for each request that is left without a response at the end."""
         for pending in self._pending.values():
-            self.recorder.violation("unanswered_at_end", pending.request.id)
+            self.recorder.record_violation("unanswered_at_end", pending.request.id)
 
-    def _attempt_ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
+    def _on_attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, response: Response | None
+    ) -> None:
         """Forward a good response, and report the outcome."""
-        assert isinstance(attempt.owner, PendingRequest)
+        assert isinstance(attempt.owner, ProxiedRequest)
         pending = attempt.owner
         served = outcome is Outcome.OK and pending.number in self._pending
         units = 0.0
@@ -184,7 +186,7 @@
         if response is not None:
             if served:
                 self._remove_pending(pending)
-                self._requests.concluded(pending, 200, "served")
+                self._requests.record_concluded(pending, 200, "served")
                 pending.response.send(200, response.body, forwarded_headers(response))
                 billed_units = response.headers.get(b"billed-units", b"")
                 units = read_billed_units(billed_units, self._max_units)
@@ -193,19 +195,19 @@
         if served:
             self._cancel_remaining(pending)
 
-    def _deadline_reached(self, pending: PendingRequest) -> None:
+    def _on_deadline(self, pending: ProxiedRequest) -> None:
         """Report attempts in flight as timed out; the gateway then decides on the response."""
         for attempt in pending.attempts:
             self._cancel_attempt(pending, attempt, Outcome.TIMEOUT)
         if pending.number in self._pending:
             self._handle(DeadlineReached(pending.number))
         if pending.number in self._pending:
-            self.recorder.violation("unanswered_at_deadline", pending.request.id)
+            self.recorder.record_violation("unanswered_at_deadline", pending.request.id)
             self._respond(pending, 504, "unanswered")
 
     def _report_attempt_end(
         self,
-        pending: PendingRequest,
+        pending: ProxiedRequest,
         attempt: Attempt,
         outcome: Outcome,
         units: float = 0.0,
@@ -213,7 +215,7 @@
     ) -> None:
         attempt.outcome = outcome
         elapsed_ms = self._clock.now() - attempt.started_at_ms
-        self._requests.attempt_ended(pending, attempt, outcome, elapsed_ms)
+        self._requests.record_attempt_ended(pending, attempt, outcome, elapsed_ms)
         self._handle(
             AttemptEnded(
                 pending.number,
@@ -234,7 +236,7 @@
         subject: Event | Action = event
         try:
             for subject in self._gateway.handle(self._clock.now(), event):
-                self._carry_out(subject)
+                self._execute_action(subject)
         except Exception:
             # the one request that the event or the action is about fails, and no other
             log.exception("event failed: subject=%s event=%s", subject, event)
@@ -243,7 +245,7 @@
             if pending is not None:
                 self._respond(pending, 500, "internal_error")
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         match action:
             case Send():
                 self._start_attempt(action)
@@ -258,7 +260,12 @@
                     self._cancel_attempt(pending, pending.attempts[index], Outcome.CANCELLED)
             case SetTimer(after_ms, label):
                 event = TimerFired(label)
-                Timer(after_ms / 1000, self._handle, event, late_s=HEDGE_TIMER_LATE_S)
+                Timer(
+                    after_ms / 1000,
+                    self._handle,
+                    event,
+                    tolerated_lateness_s=HEDGE_TIMER_LATENESS_S,
+                )
             case AddToCounter(name, amount, ttl_ms):
                 if self.counter is None:
                     raise RuntimeError("the gateway calls a counter that the settings do not name")
@@ -277,11 +284,11 @@
             pending.request.retryable,
         )
         pending.attempts.append(attempt)
-        self._requests.attempt_started(pending, attempt, action.reason)
+        self._requests.record_attempt_started(pending, attempt, action.reason)
         if self._may_write(attempt):
             self.backends.start(attempt)
 
-    def _encode(self, pending: PendingRequest) -> bytes:
+    def _encode(self, pending: ProxiedRequest) -> bytes:
         """Return the request as it is written now: it tells the time that is left now."""
         return pending.request.encode(pending.deadline - self._clock.now())
 
@@ -292,52 +299,52 @@
         if the client has gone: in a late turn of the loop a timer may come before the end of the
         client's connection.
         """
-        assert isinstance(attempt.owner, PendingRequest)
+        assert isinstance(attempt.owner, ProxiedRequest)
         pending = attempt.owner
         # a request without a timer has just arrived, and its client has been looked at
         if pending.timer is not None and pending.response.client_disconnected():
             self.cancel_request(pending)
         if attempt.ended:
             return False
-        obstacle = self._gateway.write_obstacle(self._clock.now(), pending.number, attempt.index)
-        if obstacle is None and not attempt.retryable and pending.has_other_execution(attempt):
+        reason = self._gateway.write_obstacle(self._clock.now(), pending.number, attempt.index)
+        if reason is None and not attempt.retryable and pending.has_other_execution(attempt):
             # not asked of the gateway: a fault in what it knows must not run the request twice
-            obstacle = Obstacle.SECOND_COPY
-            self.recorder.violation("second_execution", pending.request.id)
-        if obstacle is None:
+            reason = NotSentReason.SECOND_COPY
+            self.recorder.record_violation("second_execution", pending.request.id)
+        if reason is None:
             return True
-        if obstacle is Obstacle.CONCLUDED and pending.number in self._pending:
-            self.recorder.violation("forgotten_by_policy", pending.request.id)
+        if reason is NotSentReason.CONCLUDED and pending.number in self._pending:
+            self.recorder.record_violation("forgotten_by_policy", pending.request.id)
             self._respond(pending, 500, "internal_error")
             return False
-        self._requests.attempt_skipped(pending, attempt, obstacle)
+        self._requests.record_attempt_skipped(pending, attempt, reason)
         self.backends.skip(attempt)
         return False
 
     def _respond(
-        self, pending: PendingRequest, status: int, reason: str, headers: Headers = ()
+        self, pending: ProxiedRequest, status: int, reason: str, headers: Headers = ()
     ) -> None:
         """Send the final response of the ingress itself, unless there has been one."""
         if self._remove_pending(pending):
-            self._requests.concluded(pending, status, reason)
+            self._requests.record_concluded(pending, status, reason)
             pending.response.send(status, b"", headers)
             self._cancel_remaining(pending)
 
-    def _remove_pending(self, pending: PendingRequest) -> bool:
+    def _remove_pending(self, pending: ProxiedRequest) -> bool:
         """Note that no response is owed any more; return False if none was owed before."""
         if self._pending.pop(pending.number, None) is None:
             return False
         self._pending_ids.discard(pending.request.id)
         return True
 
-    def _cancel_remaining(self, pending: PendingRequest) -> None:
+    def _cancel_remaining(self, pending: ProxiedRequest) -> None:
         """Cancel the timer and the attempts that are left of a request with its final response."""
         if pending.timer is not None:
             pending.timer.cancel()
         for attempt in pending.attempts:
             self._cancel_attempt(pending, attempt, Outcome.CANCELLED)
 
-    def _cancel_attempt(self, pending: PendingRequest, attempt: Attempt, outcome: Outcome) -> None:
+    def _cancel_attempt(self, pending: ProxiedRequest, attempt: Attempt, outcome: Outcome) -> None:
         """Cancel an attempt and report its outcome, unless it has ended."""
         if not attempt.ended:
             self.backends.cancel(attempt)
--- a/sumacpost/model/actions.py
+++ b/sumacpost/model/actions.py
@@ -16,7 +16,7 @@
     HEDGE = "hedge"  # the attempt before it is overdue and goes on
 
 
-class Obstacle(Enum):
+class NotSentReason(Enum):
     """Why a request is not served, or an attempt of it not sent; the values are for the log."""
 
     UNSTATED = "unstated"
@@ -77,7 +77,7 @@
 
     request: int
     retry_after_ms: float = 0.0
-    reason: Obstacle = Obstacle.UNSTATED
+    reason: NotSentReason = NotSentReason.UNSTATED
 
 
 @dataclass(slots=True)
@@ -90,7 +90,7 @@
     """
 
     request: int
-    reason: Obstacle = Obstacle.UNSTATED
+    reason: NotSentReason = NotSentReason.UNSTATED
 
 
 @dataclass(slots=True)
--- a/sumacpost/pending_request.py
+++ b/sumacpost/pending_request.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class PendingRequest:
+class ProxiedRequest:
     """A request that has no final response yet, or has attempts in flight."""
 
     number: int
--- a/sumacpost/policy/attempt_rules.py
+++ b/sumacpost/policy/attempt_rules.py
@@ -5,54 +5,58 @@
 drain, and another attempt may have run.
 """
 
-from sumacpost.model import DeduplicationScope, Endpoint, Idempotency, Obstacle, Settings
+from sumacpost.model import DeduplicationScope, Endpoint, Idempotency, NotSentReason, Settings
 from sumacpost.policy.endpoint_table import memberships
 from sumacpost.policy.pending_request import PendingRequest
 
 REACH_MS = 50.0  # an attempt arrives within this and the time that its connection may take
 
 
-def repeat_obstacle(now: float, request: PendingRequest, settings: Settings) -> Obstacle | None:
+def repeat_obstacle(
+    now: float, request: PendingRequest, settings: Settings
+) -> NotSentReason | None:
     """Return why no further attempt of a request may be sent now; None: one may."""
     if not request.is_repeatable:
         if not request.has_key:
-            return Obstacle.NOT_REPEATABLE
+            return NotSentReason.NOT_REPEATABLE
         if now >= request.pinned_until - settings.connect_timeout_ms - REACH_MS:
-            return Obstacle.WINDOW_OVER
+            return NotSentReason.WINDOW_OVER
     if len(request.tried) >= settings.max_attempts:
-        return Obstacle.ATTEMPTS_USED
+        return NotSentReason.ATTEMPTS_USED
     if now >= request.deadline - settings.tick_ms:
-        return Obstacle.DEADLINE
+        return NotSentReason.DEADLINE
     return None
 
 
 def write_obstacle(
     now: float, request: PendingRequest, attempt: int, ready: bool, settings: Settings
-) -> Obstacle | None:
+) -> NotSentReason | None:
     """Return why an attempt that has been sent may not be written now; None: it may.
 
     ready: whether its backend is still listed as ready, in the incarnation that was chosen.
     """
     if now >= request.deadline:
-        return Obstacle.DEADLINE
+        return NotSentReason.DEADLINE
     if not ready:
-        return Obstacle.BACKEND_NOT_READY
+        return NotSentReason.BACKEND_NOT_READY
     others_in_flight = any(number != attempt for number in request.in_flight)
     unsafe = request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
     if others_in_flight and (unsafe or not settings.hedging):
-        return Obstacle.SECOND_COPY
+        return NotSentReason.SECOND_COPY
     if request.is_repeatable:
         return None
     return _repeat_obstacle_at(now, request, request.tried[attempt].endpoint)
 
 
-def _repeat_obstacle_at(now: float, request: PendingRequest, endpoint: Endpoint) -> Obstacle | None:
+def _repeat_obstacle_at(
+    now: float, request: PendingRequest, endpoint: Endpoint
+) -> NotSentReason | None:
     """Return why a request that may have run may not be written to a backend now."""
     if not request.has_key:
-        return Obstacle.NOT_REPEATABLE
+        return NotSentReason.NOT_REPEATABLE
     if now >= request.pinned_until - REACH_MS:
-        return Obstacle.WINDOW_OVER
-    return None if _in_scope(request, endpoint) else Obstacle.OUT_OF_SCOPE
+        return NotSentReason.WINDOW_OVER
+    return None if _in_scope(request, endpoint) else NotSentReason.OUT_OF_SCOPE
 
 
 def _in_scope(request: PendingRequest, endpoint: Endpoint) -> bool:
--- a/sumacpost/policy/gateway.py
+++ b/sumacpost/policy/gateway.py
@@ -9,7 +9,7 @@
     Actions,
     Cancel,
     Fail,
-    Obstacle,
+    NotSentReason,
     Reject,
     Send,
     SendReason,
@@ -69,14 +69,14 @@
                 self._drain_started(now, event)
         return self._actions
 
-    def write_obstacle(self, now: float, number: int, attempt: int) -> Obstacle | None:
+    def write_obstacle(self, now: float, number: int, attempt: int) -> NotSentReason | None:
         """Return why an attempt of a request that was sent may not be written now, if anything.
 
         Where nothing is in the way, it is taken to be written: it counts from now on.
         """
         request = self.pending.get(number)
         if request is None:
-            return Obstacle.CONCLUDED
+            return NotSentReason.CONCLUDED
         backend = request.tried[attempt]
         ready = self.endpoints.is_ready(backend)
         obstacle = write_obstacle(now, request, attempt, ready, self.settings)
@@ -88,7 +88,7 @@
         """Conclude a request that still waits, as one that is held for the counter does."""
         request = self.pending.get(event.request)
         if request is not None:
-            self._reject_or_fail(now, request, Obstacle.DEADLINE)
+            self._reject_or_fail(now, request, NotSentReason.DEADLINE)
 
     def _drain_started(self, now: float, event: events.DrainStarted) -> None:
         """Bring the deadlines of pending requests forward; a later one would never be met."""
@@ -116,25 +116,25 @@
             return
         customer.exhausted = True
         if not below_ceiling:
-            self._reject(now, request, Obstacle.CEILING)
+            self._reject(now, request, NotSentReason.CEILING)
         elif plan.over_quota_weight > plan.over_quota_cost:
             too_large = bucket_size < event.units
             self._admit(now, request, Grant.BUCKET if too_large else Grant.BEYOND_QUOTA)
         elif not self.quota_sync.probably_granted(now, customer):
-            self._reject(now, request, Obstacle.QUOTA)
+            self._reject(now, request, NotSentReason.QUOTA)
         elif self.quota_sync.may_ask(now, request):
             self._ask_counter(now, request)
         elif self.quota_sync.enabled or customer.tokens >= bucket_size:
             # a full bucket does for a larger request, which would never pass otherwise
             self._admit(now, request, Grant.BUCKET)
         else:
-            self._reject(now, request, Obstacle.QUOTA)
+            self._reject(now, request, NotSentReason.QUOTA)
 
     def _ask_counter(self, now: float, request: PendingRequest) -> None:
         """Hold a request until the counter replies; no call for one that would be rejected."""
         threshold = self.load_balancer.admission_threshold(request.event.request_class)
         if self.load_balancer.choose(now, request, threshold) is None:
-            self._reject(now, request, Obstacle.OVERLOAD)
+            self._reject(now, request, NotSentReason.OVERLOAD)
             return
         request.customer.unreported_units += request.event.units
         self._actions += self.quota_sync.settle(now, request.customer, request)
@@ -147,7 +147,7 @@
         if call.request is not None and call.grant is not None:
             self._admit(now, call.request, call.grant)
         elif call.request is not None:
-            self._reject(now, call.request, Obstacle.QUOTA)
+            self._reject(now, call.request, NotSentReason.QUOTA)
         self._actions += self.quota_sync.settle_after_reply(now, call)
 
     def _admit(self, now: float, request: PendingRequest, grant: Grant) -> None:
@@ -163,7 +163,7 @@
         if backend is None:
             if grant is Grant.COUNTER:
                 customer.unreported_units -= units
-            self._reject(now, request, Obstacle.OVERLOAD)
+            self._reject(now, request, NotSentReason.OVERLOAD)
             return
         if customer.plan.ceiling_rate:
             customer.ceiling_tokens -= units
@@ -173,7 +173,7 @@
             self._actions += self.quota_sync.settle(now, customer)
         self._send(now, request, backend, SendReason.FIRST)
 
-    def _reject(self, now: float, request: PendingRequest, reason: Obstacle) -> None:
+    def _reject(self, now: float, request: PendingRequest, reason: NotSentReason) -> None:
         """Conclude a request with the time after which its client may come back."""
         no_show_ms = NO_SHOW_MS * self.settings.clients_mark_retries
         wait_ms = request.customer.return_time(now, request.event.units, no_show_ms)
@@ -266,12 +266,12 @@
                 reason = SendReason.HEDGE if request.in_flight else SendReason.RETRY
                 self._send(now, request, backend, reason)
                 return
-            obstacle = Obstacle.NO_BACKEND
+            obstacle = NotSentReason.NO_BACKEND
         if request.in_flight:
             return  # it may still be answered
         self._reject_or_fail(now, request, obstacle)
 
-    def _reject_or_fail(self, now: float, request: PendingRequest, reason: Obstacle) -> None:
+    def _reject_or_fail(self, now: float, request: PendingRequest, reason: NotSentReason) -> None:
         """Conclude a request that is not served; its client may come back where that is safe."""
         if self.retries.permits_rejection(request):
             self._reject(now, request, reason)
--- a/sumacpost/policy/retries.py
+++ b/sumacpost/policy/retries.py
@@ -4,7 +4,7 @@
     Actions,
     DeduplicationScope,
     Idempotency,
-    Obstacle,
+    NotSentReason,
     SetTimer,
     Settings,
 )
@@ -26,11 +26,11 @@
         """Add what one request earns to the retry budget."""
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_RATIO)
 
-    def retry_obstacle(self, now: float, request: PendingRequest) -> Obstacle | None:
+    def retry_obstacle(self, now: float, request: PendingRequest) -> NotSentReason | None:
         """Return why no other attempt may be sent now, or None if one may."""
         obstacle = repeat_obstacle(now, request, self._settings)
         if obstacle is None and self.retry_tokens < 1:
-            return Obstacle.RETRY_BUDGET
+            return NotSentReason.RETRY_BUDGET
         return obstacle
 
     def permits_rejection(self, request: PendingRequest) -> bool:
--- a/sumacpost/request_recorder.py
+++ b/sumacpost/request_recorder.py
@@ -4,8 +4,8 @@
 
 from sumacpost.clock import Clock
 from sumacpost.diagnostics.event_recorder import EventKind, EventRecorder
-from sumacpost.model import Obstacle, Outcome, SendReason
-from sumacpost.pending_request import PendingRequest
+from sumacpost.model import NotSentReason, Outcome, SendReason
+from sumacpost.pending_request import ProxiedRequest
 from sumacpost.upstream.attempt import Attempt
 
 
@@ -16,7 +16,7 @@
         self._events = events
         self._clock = clock
 
-    def accepted(self, pending: PendingRequest, draining: bool) -> None:
+    def record_accepted(self, pending: ProxiedRequest, draining: bool) -> None:
         """The ingress has taken a request, and owes it a response."""
         self._events.record(
             EventKind.REQUEST_ACCEPTED,
@@ -28,7 +28,7 @@
             self._time_left_ms(pending),
         )
 
-    def pending_in_drain(self, pending: PendingRequest) -> None:
+    def record_pending_in_drain(self, pending: ProxiedRequest) -> None:
         """A drain has started while a request is pending."""
         self._events.record(
             EventKind.DRAIN_PHASE,
@@ -40,7 +40,7 @@
             len(pending.attempts),
         )
 
-    def cancelled(self, pending: PendingRequest) -> None:
+    def record_cancelled(self, pending: ProxiedRequest) -> None:
         """The client has left."""
         self._events.record(
             EventKind.REQUEST_CANCELLED,
@@ -50,7 +50,7 @@
             len(pending.attempts),
         )
 
-    def concluded(self, pending: PendingRequest, status: int, reason: str) -> None:
+    def record_concluded(self, pending: ProxiedRequest, status: int, reason: str) -> None:
         """The final response has been handed to the client's connection."""
         self._events.record(
             EventKind.REQUEST_CONCLUDED,
@@ -62,8 +62,8 @@
             len(pending.attempts),
         )
 
-    def attempt_started(
-        self, pending: PendingRequest, attempt: Attempt, reason: SendReason
+    def record_attempt_started(
+        self, pending: ProxiedRequest, attempt: Attempt, reason: SendReason
     ) -> None:
         """An attempt has begun to look for a connection."""
         self._events.record(
@@ -76,21 +76,21 @@
             self._time_left_ms(pending),
         )
 
-    def attempt_skipped(
-        self, pending: PendingRequest, attempt: Attempt, obstacle: Obstacle
+    def record_attempt_skipped(
+        self, pending: ProxiedRequest, attempt: Attempt, reason: NotSentReason
     ) -> None:
         """An attempt was not written, as something has changed since it was chosen."""
         self._events.record(
             EventKind.ATTEMPT_SKIPPED,
-            obstacle.value,
+            reason.value,
             pending.request.id,
             "attempt=%d backend=%x",
             attempt.index,
             attempt.backend,
         )
 
-    def attempt_ended(
-        self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, elapsed_ms: float
+    def record_attempt_ended(
+        self, pending: ProxiedRequest, attempt: Attempt, outcome: Outcome, elapsed_ms: float
     ) -> None:
         """An attempt has its outcome."""
         self._events.record(
@@ -103,5 +103,5 @@
             elapsed_ms,
         )
 
-    def _time_left_ms(self, pending: PendingRequest) -> float:
+    def _time_left_ms(self, pending: ProxiedRequest) -> float:
         return pending.deadline - self._clock.now()
--- a/sumacpost/server/connection.py
+++ b/sumacpost/server/connection.py
@@ -125,7 +125,7 @@
         for response in unsent:
             self._handler.cancel(response)
         if unsent and self._close_reason not in _CLIENT_GAVE_UP:
-            self._handler.recorder.violation(
+            self._handler.recorder.record_violation(
                 "closed_with_response_owed",
                 self._transport.get_extra_info("peername"),
                 "reason=%s owed=%d",
--- a/sumacpost/server/response.py
+++ b/sumacpost/server/response.py
@@ -4,7 +4,7 @@
 
 from http import HTTPStatus
 
-from sumacpost.pending_request import Headers, PendingRequest
+from sumacpost.pending_request import Headers, ProxiedRequest
 from sumacpost.server.connection_protocols import ResponseOwner
 
 _REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
@@ -19,7 +19,7 @@
         self.connection = connection
         self.keep_alive = keep_alive  # the connection stays open after this response
         self.received_at = received_at  # monotonic seconds: when the request's last byte came
-        self.request: PendingRequest | None = None  # once the ingress has accepted it
+        self.request: ProxiedRequest | None = None  # once the ingress has accepted it
         self.head: bytes | None = None  # without its Connection header and the empty line
         self.body = b""
 
--- a/sumacpost/service.py
+++ b/sumacpost/service.py
@@ -31,7 +31,9 @@
 
 LISTEN_TIMEOUT_S = 20.0  # for which a shortage of the system is waited out
 LISTEN_RETRY_DELAY_S = 0.05
-SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN))
+RESOURCE_SHORTAGE_ERRNOS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN)
+)
 
 HANDLED_SIGNALS = (
     signal.SIGTERM,
@@ -146,7 +148,7 @@
             try:
                 self.address = self._server.listen(self._config.listen)
             except OSError as error:
-                if error.errno not in SHORTAGES or time.monotonic() >= give_up_at:
+                if error.errno not in RESOURCE_SHORTAGE_ERRNOS or time.monotonic() >= give_up_at:
                     raise
                 log.warning("listening failed: error=%s", error)
             else:
--- a/sumacpost/supervisor.py
+++ b/sumacpost/supervisor.py
@@ -9,7 +9,7 @@
 
 log = logging.getLogger(__name__)
 
-RESTART_PAUSE_S = 0.1  # before a task that has failed is run again
+RESTART_DELAY_S = 0.1  # before a task that has failed is run again
 
 
 class SupervisedTask:
@@ -39,16 +39,16 @@
     def _start(self) -> None:
         if not self._stopped:
             self._task = self._loop.create_task(self._work())
-            self._task.add_done_callback(self._task_done)
+            self._task.add_done_callback(self._on_task_done)
 
-    def _task_done(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         if task.cancelled() or self._stopped:
             return
         log.error(
             "supervised task failed, restarting: task=%s", self._name, exc_info=task.exception()
         )
-        self._loop.call_later(RESTART_PAUSE_S, self._restart_after, task)
+        self._loop.call_later(RESTART_DELAY_S, self._restart_failed, task)
 
-    def _restart_after(self, failed: asyncio.Task[None]) -> None:
+    def _restart_failed(self, failed: asyncio.Task[None]) -> None:
         if failed is self._task:  # otherwise it has been restarted meanwhile
             self._start()
--- a/sumacpost/timer.py
+++ b/sumacpost/timer.py
@@ -16,19 +16,24 @@
     reads its sockets only then. A timer that gives up waiting for something would overlook what
     came in time; so the sockets are read first, which takes about 2 ms.
 
-    late_s: a timer that fires at most so late does so at once; for what is not given up by it.
+    tolerated_lateness_s: a timer that fires at most so late does so at once; for what is not given
+    up by it.
     """
 
-    __slots__ = ("_args", "_callback", "_handle", "_late_s", "_turns_left", "due")
+    __slots__ = ("_args", "_callback", "_handle", "_tolerated_lateness_s", "_turns_left", "due")
 
     def __init__(
-        self, delay_s: float, callback: Callable[..., None], *args: object, late_s: float = 0.0
+        self,
+        delay_s: float,
+        callback: Callable[..., None],
+        *args: object,
+        tolerated_lateness_s: float = 0.0,
     ) -> None:
         loop = asyncio.get_running_loop()
         self.due = loop.time() + delay_s  # by the loop's clock
         self._callback = callback
         self._args = args
-        self._late_s = late_s
+        self._tolerated_lateness_s = tolerated_lateness_s
         self._turns_left = READ_TURNS
         self._handle = loop.call_later(delay_s, self._fire)
 
@@ -38,8 +43,10 @@
 
     def _fire(self) -> None:
         loop = asyncio.get_running_loop()
-        at_once = self._late_s and loop.time() - self.due <= self._late_s
-        if self._turns_left and not at_once:
+        skip_reads = (
+            self._tolerated_lateness_s and loop.time() - self.due <= self._tolerated_lateness_s
+        )
+        if self._turns_left and not skip_reads:
             self._turns_left -= 1
             self._handle = loop.call_later(READ_DELAY_S, self._fire)
             return
--- a/sumacpost/upstream/connection.py
+++ b/sumacpost/upstream/connection.py
@@ -193,7 +193,7 @@
         """Close, and end the attempt: the backend may have run it if it was written whole."""
         written = self._state is ConnectionState.WRITTEN
         self.close(reason)
-        if self.attempt is not None and self.idle_since and not self._reader.response_begun:
+        if self.attempt is not None and self.idle_since and not self._reader.response_started:
             self._pool.reuse_limit.record_reset(
                 idle_s=self._request_started_at - self.idle_since,
                 elapsed_s=asyncio.get_running_loop().time() - self._request_started_at,
--- a/tests/policy/test_attempt_rules.py
+++ b/tests/policy/test_attempt_rules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sumacpost.model import Obstacle, RequestClass, Send
+from sumacpost.model import NotSentReason, RequestClass, Send
 from sumacpost.policy.attempt_rules import REACH_MS, repeat_obstacle, write_obstacle
 from sumacpost.policy.backend import InFlightAttempt
 from sumacpost.policy.gateway import Gateway
@@ -52,11 +52,11 @@
         (SAFE, None),
         (KEYED, None),
         (KEYED_ALL, None),
-        (UNSAFE, Obstacle.NOT_REPEATABLE),
+        (UNSAFE, NotSentReason.NOT_REPEATABLE),
     ],
 )
 def test_a_request_that_may_have_run_is_repeated_as_its_class_permits(
-    request_class: RequestClass, obstacle: Obstacle | None
+    request_class: RequestClass, obstacle: NotSentReason | None
 ) -> None:
     _, pending = sent_request(request_class)
     assert repeat_obstacle(START + 1, pending, SETTINGS) is None
@@ -70,7 +70,7 @@
     reach_ms = SETTINGS.connect_timeout_ms + REACH_MS
     last = START + KEYED.deduplication_window_ms - reach_ms
     assert repeat_obstacle(last - 1, pending, SETTINGS) is None
-    assert repeat_obstacle(last, pending, SETTINGS) is Obstacle.WINDOW_OVER
+    assert repeat_obstacle(last, pending, SETTINGS) is NotSentReason.WINDOW_OVER
 
 
 @pytest.mark.parametrize(
@@ -78,13 +78,13 @@
     [
         (SAFE, False, None),
         (KEYED, True, None),
-        (KEYED, False, Obstacle.OUT_OF_SCOPE),
+        (KEYED, False, NotSentReason.OUT_OF_SCOPE),
         (KEYED_ALL, False, None),
-        (UNSAFE, True, Obstacle.SECOND_COPY),
+        (UNSAFE, True, NotSentReason.SECOND_COPY),
     ],
 )
 def test_a_second_copy_is_written_as_its_class_permits(
-    request_class: RequestClass, same_cell: bool, obstacle: Obstacle | None
+    request_class: RequestClass, same_cell: bool, obstacle: NotSentReason | None
 ) -> None:
     subject, pending = sent_request(request_class)
     pending.record_possible_execution(0, START)
@@ -96,7 +96,7 @@
     subject, pending = sent_request(SAFE)
     number = add_attempt(subject, pending, True)
     unhedged = settings(hedging=False)
-    assert write_obstacle(START + 1, pending, number, True, unhedged) is Obstacle.SECOND_COPY
+    assert write_obstacle(START + 1, pending, number, True, unhedged) is NotSentReason.SECOND_COPY
 
 
 def test_an_unsafe_request_that_may_have_run_is_not_written_again() -> None:
@@ -105,22 +105,22 @@
     number = add_attempt(subject, pending, True)
     del pending.in_flight[0]
     found = write_obstacle(START + 1, pending, number, True, SETTINGS)
-    assert found is Obstacle.NOT_REPEATABLE
+    assert found is NotSentReason.NOT_REPEATABLE
 
 
 def test_nothing_is_written_past_the_deadline_or_the_window_or_to_a_backend_that_left() -> None:
     subject, pending = sent_request(KEYED)
     assert write_obstacle(START + 1, pending, 0, True, SETTINGS) is None
-    assert write_obstacle(START + 1, pending, 0, False, SETTINGS) is Obstacle.BACKEND_NOT_READY
-    assert write_obstacle(pending.deadline, pending, 0, True, SETTINGS) is Obstacle.DEADLINE
+    assert write_obstacle(START + 1, pending, 0, False, SETTINGS) is NotSentReason.BACKEND_NOT_READY
+    assert write_obstacle(pending.deadline, pending, 0, True, SETTINGS) is NotSentReason.DEADLINE
     pending.record_possible_execution(0, START)
     number = add_attempt(subject, pending, True)
     late = START + KEYED.deduplication_window_ms - REACH_MS
-    assert write_obstacle(late, pending, number, True, SETTINGS) is Obstacle.WINDOW_OVER
+    assert write_obstacle(late, pending, number, True, SETTINGS) is NotSentReason.WINDOW_OVER
 
 
 def test_a_concluded_request_is_not_written() -> None:
     subject, _pending = sent_request(SAFE)
     assert subject.write_obstacle(START + 1, 1, 0) is None
     subject.pending.clear()
-    assert subject.write_obstacle(START + 1, 1, 0) is Obstacle.CONCLUDED
+    assert subject.write_obstacle(START + 1, 1, 0) is NotSentReason.CONCLUDED
--- a/tests/server/test_drain_deadline.py
+++ b/tests/server/test_drain_deadline.py
@@ -160,6 +160,6 @@
             statuses = await read_statuses(client)
             assert statuses[-1] == b"429"
             await ingress.task
-            assert ingress.bridge.recorder.violations == 0
+            assert ingress.bridge.recorder.violation_count == 0
 
     run(test())
--- a/tests/test_attempt_rules.py
+++ b/tests/test_attempt_rules.py
@@ -84,8 +84,8 @@
             (known,) = ingress.gateway.pending.values()
             known.in_flight.clear()
             known.tried.append(known.tried[0])
-            ingress.bridge._carry_out(Send(pending.number, attempt.backend))
-            assert ingress.bridge.recorder.violations == 1
+            ingress.bridge._execute_action(Send(pending.number, attempt.backend))
+            assert ingress.bridge.recorder.violation_count == 1
             assert ingress.bridge.recorder.counts[EventKind.VIOLATION, "second_execution"] == 1
             connection_gate.open()
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -18,10 +18,10 @@
 def test_a_response_may_come_byte_by_byte(reader: ResponseReader) -> None:
     *first, last = [RESPONSE[n : n + 1] for n in range(len(RESPONSE))]
     assert [reader.feed(byte) for byte in first] == [None] * len(first)
-    assert reader.response_begun
+    assert reader.response_started
     headers = {b"x-part": b"a, b", b"content-length": b"4"}
     assert reader.feed(last) == Response(200, headers, b"done", keep_alive=True)
-    assert not reader.response_begun
+    assert not reader.response_started
 
 
 def test_bytes_behind_a_complete_response_end_the_reuse_of_its_connection(
@@ -60,10 +60,10 @@
 def test_a_response_without_a_length_ends_with_its_connection(reader: ResponseReader) -> None:
     for piece in (UNBOUNDED, b"do", b"ne"):
         assert reader.feed(piece) is None
-    assert reader.response_begun
+    assert reader.response_started
     expected = Response(200, {b"x-part": b"a"}, b"done", keep_alive=False)
     assert reader.feed_eof() == expected
-    assert not reader.response_begun
+    assert not reader.response_started
     assert reader.feed_eof() is None
 
 
