--- a/fleetlab/soak/attempt_oracles.py
+++ b/fleetlab/soak/attempt_oracles.py
@@ -30,21 +30,21 @@
         if request is None:
             yield Violation("unknown_id", request_id, f"no client has sent it: {attempts}")
         elif request.effect is Effect.NOT_IDEMPOTENT:
-            yield from _run_once(request_id, attempts)
+            yield from _check_single_execution(request_id, attempts)
         elif request.effect is Effect.KEYED:
-            yield from _repeated_in_window(evidence, request.ingress, request_id, attempts)
+            yield from _check_dedup_window(evidence, request.ingress, request_id, attempts)
         if not evidence.site.hedging:
-            yield from _out_once(request_id, attempts)
+            yield from _check_single_attempt(request_id, attempts)
 
 
-def _run_once(request_id: str, attempts: Sequence[Attempt]) -> Iterable[Violation]:
+def _check_single_execution(request_id: str, attempts: Sequence[Attempt]) -> Iterable[Violation]:
     for earlier, later in pairwise(attempts):
         if may_have_run(earlier):
             yield Violation("run_twice", request_id, f"{earlier} and {later}")
-    yield from _out_once(request_id, attempts)
+    yield from _check_single_attempt(request_id, attempts)
 
 
-def _out_once(request_id: str, attempts: Sequence[Attempt]) -> Iterable[Violation]:
+def _check_single_attempt(request_id: str, attempts: Sequence[Attempt]) -> Iterable[Violation]:
     for earlier, later in pairwise(attempts):
         if earlier.unobserved:
             continue
@@ -53,16 +53,16 @@
             yield Violation("two_out", request_id, f"{earlier} and {later}")
 
 
-def _repeated_in_window(
+def _check_dedup_window(
     evidence: Evidence, ingress: str, request_id: str, attempts: Sequence[Attempt]
 ) -> Iterable[Violation]:
-    ran = [attempt for attempt in attempts if may_have_run(attempt)]
-    if not ran:
+    executed = [attempt for attempt in attempts if may_have_run(attempt)]
+    if not executed:
         return
     allowed_s = evidence.site.dedup_window_s + SLACK_S
     for attempt in attempts:
-        interval = (ran[0].received_at, attempt.received_at)
-        after_s = attempt.received_at - ran[0].received_at
+        interval = (executed[0].received_at, attempt.received_at)
+        after_s = attempt.received_at - executed[0].received_at
         if not evidence.check_bound("window_over", after_s, allowed_s, ingress, interval):
             detail = f"{after_s:.3f} s after the first: {attempts}"
             yield Violation("window_over", request_id, detail)
@@ -104,38 +104,39 @@
     """Nothing is sent to a backend that drains or is gone, once the grace after that is over."""
     grace_s = evidence.site.drain_grace_s + SLACK_S + PAUSE_ALLOWANCE_S
     ingress_of = {request.request_id: request.ingress for request in evidence.record.requests}
-    states: dict[tuple[str, str], list[tuple[float, str]]] = defaultdict(list)
+    states_by_recipient: dict[tuple[str, str], list[tuple[float, str]]] = defaultdict(list)
     for change in sorted(evidence.record.list_changes, key=lambda change: change.at):
-        states[change.ingress, change.backend].append((change.at, change.state))
+        states_by_recipient[change.ingress, change.backend].append((change.at, change.state))
     for attempt in evidence.record.attempts:
         ingress = ingress_of.get(attempt.request_id, "")
         process = evidence.process_at(ingress, attempt.first_byte_at)
         # what the process before it was told, this one can't know while its agent can't be reached
-        known = (
+        notified_states = (
             []
             if process is None
             else [
                 (at, state)
-                for at, state in states[ingress, attempt.backend]
+                for at, state in states_by_recipient[ingress, attempt.backend]
                 if at >= process.started_at
             ]
         )
-        told_at, told = _last_state(known, attempt.first_byte_at)
+        notified_at, notified_state = _last_state(notified_states, attempt.first_byte_at)
         # the list may have it ready again, and the ingress have heard of it in another life
-        _, listed = _last_state(states["", attempt.backend], attempt.first_byte_at)
-        if "active" in (told, listed):
+        _, listed = _last_state(states_by_recipient["", attempt.backend], attempt.first_byte_at)
+        if "active" in (notified_state, listed):
             continue
-        after_s = attempt.first_byte_at - told_at
-        interval = (told_at, attempt.first_byte_at)
+        after_s = attempt.first_byte_at - notified_at
+        interval = (notified_at, attempt.first_byte_at)
         if not evidence.check_bound("sent_to_draining", after_s, grace_s, ingress, interval):
-            detail = f"{after_s:.3f} s after {ingress} was told {told}: {attempt}"
+            detail = f"{after_s:.3f} s after {ingress} was told {notified_state}: {attempt}"
             yield Violation("sent_to_draining", attempt.request_id, detail)
 
 
 def _last_state(states: Sequence[tuple[float, str]], at: float) -> tuple[float, str]:
     """Return the last state before a time, and since when; active if there has been no change."""
     return next(
-        ((since, state) for since, state in reversed(states) if since <= at), (0.0, "active")
+        ((since, state) for since, state in reversed(states) if since <= at),
+        (0.0, "active"),
     )
 
 
@@ -147,64 +148,66 @@
     most two thirds of what is allowed: with more, they would break it as soon as a late one sends
     the rest (slow_start_room).
     """
-    for start, windows in _windows_of_starts(evidence):
+    for start, windows in _slow_start_windows(evidence):
         if not windows:
             continue
-        most_told = max(windows, key=lambda window: window.told / window.allowed)
-        room = most_told.allowed * NOTIFIED_SHARE
-        evidence.record_bound_ratio("slow_start_room", most_told.told / room)
-        fullest = _fullest_counted(windows)
-        evidence.record_bound_ratio("slow_start", fullest.requests / fullest.allowed)
-        if fullest.requests > fullest.allowed:
-            yield Violation("slow_start", start.backend, f"{start}: {fullest}")
-        elif most_told.told > room:
-            yield Violation("slow_start_room", start.backend, f"{start}: {most_told}")
-
-
-def _fullest_counted(windows: Sequence[_StartWindow]) -> _StartWindow:
+        most_notified = max(windows, key=lambda window: window.notified / window.limit)
+        notified_limit = most_notified.limit * NOTIFIED_SHARE
+        evidence.record_bound_ratio("slow_start_room", most_notified.notified / notified_limit)
+        fullest_window = _fullest_notified_window(windows)
+        evidence.record_bound_ratio("slow_start", fullest_window.requests / fullest_window.limit)
+        if fullest_window.requests > fullest_window.limit:
+            yield Violation("slow_start", start.backend, f"{start}: {fullest_window}")
+        elif most_notified.notified > notified_limit:
+            yield Violation("slow_start_room", start.backend, f"{start}: {most_notified}")
+
+
+def _fullest_notified_window(windows: Sequence[_StartWindow]) -> _StartWindow:
     """Return the fullest window of which over two thirds came from ingresses that were told."""
-    counted = [window for window in windows if window.told > window.requests * NOTIFIED_SHARE]
+    mostly_notified = [
+        window for window in windows if window.notified > window.requests * NOTIFIED_SHARE
+    ]
     none = _StartWindow(0, 0, 1.0)
-    return max(counted, key=lambda window: window.requests / window.allowed, default=none)
+    return max(mostly_notified, key=lambda window: window.requests / window.limit, default=none)
 
 
 class _StartWindow(NamedTuple):
     """What a backend got in one window after its start."""
 
     requests: int
-    told: int  # of them from ingresses that had been told of the start
-    allowed: float
+    notified: int  # of them from ingresses that had been told of the start
+    limit: float
 
 
-def _windows_of_starts(evidence: Evidence) -> Iterable[tuple[BackendStart, list[_StartWindow]]]:
+def _slow_start_windows(evidence: Evidence) -> Iterable[tuple[BackendStart, list[_StartWindow]]]:
     """Return the windows that begin with a request to a backend that is warming up."""
     site = evidence.site
     for start in evidence.record.backend_starts:
-        received = sorted(_received_after(evidence, start))
+        received = sorted(_attempts_since_start(evidence, start))
         times = [at for at, _ in received]
-        told_before = [0, *accumulate(was_told for _, was_told in received)]
+        notified_counts = [0, *accumulate(was_notified for _, was_notified in received)]
         windows = []
-        for first, begin in enumerate(times):
-            end = begin + site.overload_window_s
-            if end > start.at + site.slow_start_s:
+        for first, window_start in enumerate(times):
+            window_end = window_start + site.overload_window_s
+            if window_end > start.at + site.slow_start_s:
                 break  # it has its full capacity
-            last = bisect_right(times, end)
-            told = told_before[last] - told_before[first]
-            allowed = _window_bound(site, end - start.at)
-            windows.append(_StartWindow(last - first, told, allowed))
+            last = bisect_right(times, window_end)
+            notified = notified_counts[last] - notified_counts[first]
+            limit = _window_limit(site, window_end - start.at)
+            windows.append(_StartWindow(last - first, notified, limit))
         yield start, windows
 
 
-def _received_after(evidence: Evidence, start: BackendStart) -> list[tuple[float, bool]]:
+def _attempts_since_start(evidence: Evidence, start: BackendStart) -> list[tuple[float, bool]]:
     """Return when a started backend got attempts, and whether their ingresses had been told.
 
     What the process before it was told, an ingress can't know while its agent can't be reached.
     """
     ingress_of = {request.request_id: request.ingress for request in evidence.record.requests}
-    told_at: dict[str, list[float]] = defaultdict(list)
+    notified_at: dict[str, list[float]] = defaultdict(list)
     for change in evidence.record.list_changes:
         if change.backend == start.backend and change.state == "active" and change.at >= start.at:
-            told_at[change.ingress].append(change.at)
+            notified_at[change.ingress].append(change.at)
     received = []
     for attempt in evidence.record.attempts:
         if (attempt.backend, attempt.incarnation) != (start.backend, start.incarnation):
@@ -212,14 +215,16 @@
         ingress = ingress_of.get(attempt.request_id, "")
         process = evidence.process_at(ingress, attempt.first_byte_at)
         since = 0.0 if process is None else process.started_at
-        was_told = any(since <= at <= attempt.first_byte_at for at in told_at[ingress])
-        received.append((attempt.received_at, was_told))
+        was_notified = any(since <= at <= attempt.first_byte_at for at in notified_at[ingress])
+        received.append((attempt.received_at, was_notified))
     return received
 
 
-def _window_bound(site: SoakSite, age_s: float) -> float:
+def _window_limit(site: SoakSite, age_s: float) -> float:
     """Return the most requests of mean work in a window that ends at this age of a backend."""
-    part = min(1.0, site.initial_capacity + (1 - site.initial_capacity) * age_s / site.slow_start_s)
-    requests = part / MEAN_SERVICE_TIME_S * site.overload_factor * site.overload_window_s
-    more = 3 * sqrt(requests) + 3 if requests < SMALL_WINDOW_REQUESTS else 2 * sqrt(requests) + 2
-    return requests + more
+    capacity = min(
+        1.0, site.initial_capacity + (1 - site.initial_capacity) * age_s / site.slow_start_s
+    )
+    requests = capacity / MEAN_SERVICE_TIME_S * site.overload_factor * site.overload_window_s
+    margin = 3 * sqrt(requests) + 3 if requests < SMALL_WINDOW_REQUESTS else 2 * sqrt(requests) + 2
+    return requests + margin
--- a/fleetlab/soak/backend.py
+++ b/fleetlab/soak/backend.py
@@ -49,7 +49,7 @@
     connections: dict[_Connection, None] = field(default_factory=dict)
     unreachable: bool = False  # cut off: open connections say nothing, new ones never come up
     _server: asyncio.Server | None = None
-    _full_queue: list[socket.socket] = field(default_factory=list)
+    _backlog_sockets: list[socket.socket] = field(default_factory=list)
     _address: tuple[str, int] = ("127.0.0.1", 0)
 
     async def start(self) -> None:
@@ -84,20 +84,20 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(self._address)
         listener.listen(0)
-        self._full_queue = [listener]
+        self._backlog_sockets = [listener]
         for _ in range(BACKLOG_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             with suppress(BlockingIOError):
                 filler.connect(self._address)
-            self._full_queue.append(filler)
+            self._backlog_sockets.append(filler)
 
     async def become_reachable(self) -> None:
         """Come back: connections from before are reset, new ones come up."""
         self.unreachable = False
-        for sock in self._full_queue:
+        for sock in self._backlog_sockets:
             sock.close()
-        self._full_queue = []
+        self._backlog_sockets = []
         for connection in list(self.connections):
             connection.reset()
         await self.start()
@@ -105,7 +105,7 @@
     async def stop(self) -> None:
         """End for good."""
         await self.crash()
-        for sock in self._full_queue:
+        for sock in self._backlog_sockets:
             sock.close()
 
     async def restart(self) -> None:
@@ -133,21 +133,21 @@
         if delay_s:
             self._transport.pause_reading()
             asyncio.get_running_loop().call_later(delay_s, self._resume)
-        self._rest()
+        self._start_idle_timer()
 
     def _resume(self) -> None:
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def _rest(self) -> None:
+    def _start_idle_timer(self) -> None:
         """Wait for a request, for as long as an idle connection is kept."""
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         self._idle_timer = asyncio.get_running_loop().call_later(
-            self._backend.state.idle_timeout_s, self._idle_too_long
+            self._backend.state.idle_timeout_s, self._on_idle_timeout
         )
 
-    def _idle_too_long(self) -> None:
+    def _on_idle_timeout(self) -> None:
         if self._attempt is not None or self._buffer:
             return
         if self._backend.state.idle_becomes_stale:
@@ -160,7 +160,7 @@
             self.reset()
             return
         if not self._buffer:
-            self._first_byte_at = self._came_at()
+            self._first_byte_at = self._last_data_at()
         self._buffer += data
         head, separator, rest = self._buffer.partition(b"\r\n\r\n")
         if not separator or self._attempt is not None:
@@ -170,14 +170,14 @@
         if len(rest) < length:
             return
         self._buffer = rest[length:]
-        self._start(headers)
+        self._start_attempt(headers)
 
-    def _came_at(self) -> float:
+    def _last_data_at(self) -> float:
         """Return when the last bytes came, which the loop may have read later."""
         return time.monotonic() - since_last_data_s(self._transport)
 
-    def _start(self, headers: dict[bytes, bytes]) -> None:
-        received_at = self._came_at()
+    def _start_attempt(self, headers: dict[bytes, bytes]) -> None:
+        received_at = self._last_data_at()
         behaviour = self._backend.state.choose_behaviour()
         self._attempt = Attempt(
             headers.get(b"request-id", b"").decode(),
@@ -210,21 +210,21 @@
         body = b"%b from %b" % (attempt.request_id.encode(), attempt.backend.encode())
         match behaviour:
             case Behaviour.RESET | Behaviour.LATE_RESET:
-                self._conclude(attempt, AttemptResult.INVALID)
+                self._finish_attempt(attempt, AttemptResult.INVALID)
                 self.reset()
             case Behaviour.NOISE:
-                self._conclude(attempt, AttemptResult.INVALID)
+                self._finish_attempt(attempt, AttemptResult.INVALID)
                 self._transport.write(b"\x00\xffnoise that is no response\r\n\r\n")
             case Behaviour.ERROR:
-                self._conclude(attempt, AttemptResult.ERROR)
+                self._finish_attempt(attempt, AttemptResult.ERROR)
                 self._transport.write(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
             case Behaviour.NOT_STARTED:
-                self._conclude(attempt, AttemptResult.NOT_STARTED)
+                self._finish_attempt(attempt, AttemptResult.NOT_STARTED)
                 self._transport.write(
                     b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
                 )
             case Behaviour.TRUNCATED:
-                self._conclude(attempt, AttemptResult.INVALID)
+                self._finish_attempt(attempt, AttemptResult.INVALID)
                 length = len(body) + 10
                 self._transport.write(
                     b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (length, body)
@@ -241,12 +241,12 @@
         if behaviour in (Behaviour.SERVE, Behaviour.SLOW, Behaviour.SERVE_AND_CLOSE):
             closing = behaviour is Behaviour.SERVE_AND_CLOSE
             connection = b"Connection: close\r\n" if closing else b""
-            self._transport.write(_bounded_head(body, connection) + body)
-            self._conclude(attempt, AttemptResult.SERVED)
+            self._transport.write(_head_with_length(body, connection) + body)
+            self._finish_attempt(attempt, AttemptResult.SERVED)
             if closing:
                 self._transport.close()
         elif behaviour is Behaviour.IN_PIECES:
-            self._transport.write(_bounded_head(body) + body[:half])
+            self._transport.write(_head_with_length(body) + body[:half])
             loop.call_later(PIECE_PAUSE_S, self._write_last, attempt, body[half:], False)
         elif behaviour is Behaviour.UNBOUNDED:
             self._write_last(attempt, b"HTTP/1.1 200 OK\r\nServer: x\r\n\r\n" + body, True)
@@ -255,7 +255,7 @@
             loop.call_later(PIECE_PAUSE_S, self._write_last, attempt, body[half:], True)
         else:
             self._transport.write(b"HTTP/1.1 200 OK\r\n\r\n" + body[:half])
-            self._conclude(attempt, AttemptResult.INVALID)
+            self._finish_attempt(attempt, AttemptResult.INVALID)
             loop.call_later(PIECE_PAUSE_S, self.reset)
 
     def _write_last(self, attempt: Attempt, data: bytes, close: bool) -> None:
@@ -266,15 +266,15 @@
         ):
             return
         write_at_once(self._transport, data, end=close)
-        self._conclude(attempt, AttemptResult.SERVED)
+        self._finish_attempt(attempt, AttemptResult.SERVED)
         if close:
             self._transport.close()
 
-    def _conclude(self, attempt: Attempt, result: AttemptResult) -> None:
+    def _finish_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
         attempt.result = result
         attempt.ended_at = time.monotonic()
         self._attempt = None
-        self._rest()
+        self._start_idle_timer()
 
     def stop_reading(self) -> None:
         """Read and write nothing more."""
@@ -297,8 +297,8 @@
             self._attempt = None
 
 
-def _bounded_head(body: bytes, more: bytes = b"") -> bytes:
-    return b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n" % (more, len(body))
+def _head_with_length(body: bytes, extra_headers: bytes = b"") -> bytes:
+    return b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n" % (extra_headers, len(body))
 
 
 def _parse_headers(head: bytes) -> dict[bytes, bytes]:
--- a/fleetlab/soak/client.py
+++ b/fleetlab/soak/client.py
@@ -68,8 +68,8 @@
         self._writer = writer
         self._records = records
         self._last: ClientRequest | None = None
-        self._owed = 0  # responses
-        self._rests_since = time.monotonic()
+        self._pending_responses = 0  # responses
+        self._idle_since = time.monotonic()
 
     @classmethod
     async def connect(
@@ -83,13 +83,13 @@
         )
         return cls(ingress, reader, writer, records)
 
-    def has_ended(self) -> bool:
+    def is_closed(self) -> bool:
         """Return whether the ingress has closed the connection, as far as is known here."""
         return not self.open or self._reader.at_eof() or self._writer.is_closing()
 
     async def send(self, plan: RequestPlan, pieces: int = 1, pause_s: float = 0.0) -> ClientRequest:
         """Write a request, in so many pieces with pauses between, and record it."""
-        await self._note_extra_bytes()
+        await self._read_extra_bytes()
         record = ClientRequest(
             plan.request_id,
             self.ingress,
@@ -97,10 +97,10 @@
             plan.timeout_s,
             self._last is None,
             time.monotonic(),
-            time.monotonic() - self._rests_since,
+            time.monotonic() - self._idle_since,
         )
         self._last = record
-        self._owed += 1
+        self._pending_responses += 1
         self._records.append(record)
         data = plan.encode()
         size = -(-len(data) // pieces)
@@ -115,9 +115,9 @@
         record.sent_at = time.monotonic()
         return record
 
-    async def _note_extra_bytes(self) -> None:
+    async def _read_extra_bytes(self) -> None:
         """Note what has come since the last response, if none is owed."""
-        if self._last is None or self._owed:
+        if self._last is None or self._pending_responses:
             return
         with suppress(TimeoutError, ConnectionError):
             async with asyncio.timeout(0):  # only for what has come already
@@ -140,8 +140,8 @@
             self.close()
         else:
             record.answered_at = time.monotonic()
-            self._owed -= 1
-            self._rests_since = record.answered_at
+            self._pending_responses -= 1
+            self._idle_since = record.answered_at
             record.status = int(head.split(b" ", 2)[1])
             record.body = body
             if b"connection: close" in head.lower():
--- a/fleetlab/soak/endpoint_list.py
+++ b/fleetlab/soak/endpoint_list.py
@@ -13,7 +13,9 @@
 from fleetlab.stand_in import StandInServer, reset_connection
 from fleetlab.versioned_list import JsonObject, VersionedList
 
-MOVED_CLOSE_S = 1.5  # after a new configuration, when the old address closes its connections
+OLD_ADDRESS_CLOSE_DELAY_S = (
+    1.5  # after a new configuration, when the old address closes its connections
+)
 MAX_HOLD_S = 60.0
 FIRST_VERSION = 1  # of the list
 
@@ -62,7 +64,7 @@
         self.unbounded = False  # whether responses have no length
         self.address = ""
         self._shared = shared
-        self.told: list[ListChange] = []
+        self.notifications: list[ListChange] = []
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
@@ -109,20 +111,22 @@
                 reset_connection(cast(asyncio.Transport, writer.transport))
                 return False
         changes = None if known is None else self._shared.list.encode_changes(known)
-        told = self._shared.changes_since(known if changes is not None else None)
+        notified = self._shared.changes_since(known if changes is not None else None)
         body = changes if changes is not None else self._shared.list.encode_full()
         # an ingress that has moved to a new agent has closed its end: it is told nothing here
         if writer.transport.is_closing() or reader.at_eof():
             return False
         if self.fault is AgentFault.TORN:
-            writer.write(_bounded(body)[: -len(body) // 2])
+            writer.write(_encode_response(body)[: -len(body) // 2])
             return False
-        writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body if self.unbounded else _bounded(body))
+        writer.write(
+            b"HTTP/1.1 200 OK\r\n\r\n" + body if self.unbounded else _encode_response(body)
+        )
         await writer.drain()
         now = time.monotonic()
-        self.told += [ListChange(self.ingress, c.backend, c.state, now) for c in told]
+        self.notifications += [ListChange(self.ingress, c.backend, c.state, now) for c in notified]
         return not self.unbounded
 
 
-def _bounded(body: bytes) -> bytes:
+def _encode_response(body: bytes) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
--- a/fleetlab/soak/evidence.py
+++ b/fleetlab/soak/evidence.py
@@ -70,18 +70,18 @@
         in the last second alone: what they did before that was not held up by it.
         """
         if value_s > bound_s:
-            begin, end = interval
-            waited_s = self.waited_s(ingress, max(begin, end - EXCUSED_WAIT_WINDOW_S), end)
+            start, end = interval
+            waited_s = self.waited_s(ingress, max(start, end - EXCUSED_WAIT_WINDOW_S), end)
             self.excused[rule] += bound_s < value_s <= bound_s + waited_s
             bound_s += waited_s
         self.record_bound_ratio(rule, value_s / bound_s)
         return value_s <= bound_s
 
-    def record_bound_ratio(self, rule: str, part: float) -> None:
+    def record_bound_ratio(self, rule: str, ratio: float) -> None:
         """Remember that a rule was come so near, as a part of its bound."""
-        self.bound_ratios[rule] = max(min(part, MAX_BOUND_RATIO), self.bound_ratios.get(rule, 0.0))
+        self.bound_ratios[rule] = max(min(ratio, MAX_BOUND_RATIO), self.bound_ratios.get(rule, 0.0))
 
-    def waited_s(self, ingress: str, begin: float, end: float) -> float:
+    def waited_s(self, ingress: str, start: float, end: float) -> float:
         """Return for how long an ingress and the soak itself waited between two times."""
         pids = {process.pid for process in self.record.lives if process.ingress == ingress}
         return sum(
@@ -89,13 +89,13 @@
             for wait in self.record.waits
             if wait.pid in pids | {self.soak_pid}
             and wait.began_at <= end
-            and wait.ended_at >= begin
+            and wait.ended_at >= start
         )
 
-    def had_broken_connections(self, ingress: str, begin: float, end: float) -> bool:
+    def had_broken_connections(self, ingress: str, start: float, end: float) -> bool:
         """Return whether connections that an ingress had made broke between two times."""
         return any(
-            broken.ingress == ingress and broken.began_at <= end and begin <= broken.ended_at
+            broken.ingress == ingress and broken.began_at <= end and start <= broken.ended_at
             for broken in self.record.broken_paths
         )
 
@@ -131,8 +131,8 @@
 
 def first_termination_signal_at(process: ProcessRecord) -> float | None:
     """Return when a process was first told to end."""
-    warnings = (process.signalled_at("SIGTERM"), process.signalled_at("SIGINT"))
-    return min((at for at in warnings if at is not None), default=None)
+    signals = (process.signalled_at("SIGTERM"), process.signalled_at("SIGINT"))
+    return min((at for at in signals if at is not None), default=None)
 
 
 def may_have_run(attempt: Attempt) -> bool:
--- a/fleetlab/soak/faults.py
+++ b/fleetlab/soak/faults.py
@@ -84,9 +84,9 @@
         """Carry out all faults, each at its time; return when the last one is over."""
         async with asyncio.TaskGroup() as tasks:
             for fault in faults:
-                tasks.create_task(self._at_its_time(fault, started_at))
+                tasks.create_task(self._run_fault(fault, started_at))
 
-    async def _at_its_time(self, fault: PlannedFault, started_at: float) -> None:
+    async def _run_fault(self, fault: PlannedFault, started_at: float) -> None:
         await asyncio.sleep(max(0.0, started_at + fault.at_s - time.monotonic()))
         name = fault.kind.value
         self.record.faults[name] = self.record.faults.get(name, 0) + 1
@@ -187,16 +187,16 @@
         backend = self.backends[fault.target]
         match fault.kind:
             case FaultKind.BACKEND_HANGS:
-                await self._behave(backend, always(Behaviour.HANG), fault.seconds)
+                await self._set_behaviour(backend, always(Behaviour.HANG), fault.seconds)
             case FaultKind.BACKEND_FAILS:
                 chooser = weighted(self.random, FAILING_WEIGHTS)
-                await self._behave(backend, chooser, fault.seconds)
+                await self._set_behaviour(backend, chooser, fault.seconds)
             case FaultKind.BACKEND_RESETS_LATE:
                 chooser = weighted(self.random, LATE_RESET_WEIGHTS)
-                await self._behave(backend, chooser, fault.seconds)
+                await self._set_behaviour(backend, chooser, fault.seconds)
             case FaultKind.BACKEND_UNBOUNDED:
                 chooser = weighted(self.random, UNBOUNDED_WEIGHTS)
-                await self._behave(backend, chooser, fault.seconds)
+                await self._set_behaviour(backend, chooser, fault.seconds)
             case FaultKind.BACKEND_FORGETS:
                 backend.state.idle_timeout_s, before = STALE_AFTER_S, backend.state.idle_timeout_s
                 backend.state.idle_becomes_stale = True
@@ -204,14 +204,14 @@
                 backend.state.idle_timeout_s = before
                 backend.state.idle_becomes_stale = False
             case _:
-                await self._take_away(backend, fault)
+                await self._disrupt_backend(backend, fault)
 
-    async def _behave(self, backend: SoakBackend, chooser: Chooser, seconds: float) -> None:
+    async def _set_behaviour(self, backend: SoakBackend, chooser: Chooser, seconds: float) -> None:
         backend.state.choose_behaviour = chooser
         await asyncio.sleep(seconds)
         backend.state.choose_behaviour = weighted(self.random, NORMAL_WEIGHTS)
 
-    async def _take_away(self, backend: SoakBackend, fault: PlannedFault) -> None:
+    async def _disrupt_backend(self, backend: SoakBackend, fault: PlannedFault) -> None:
         """Let a backend crash, vanish or drain, unless it is away already."""
         if fault.target in self.disrupted_backends:
             return
--- a/fleetlab/soak/planted_faults.py
+++ b/fleetlab/soak/planted_faults.py
@@ -15,8 +15,8 @@
 from fleetlab.soak.run import SoakResult
 
 ROOT = Path(__file__).parents[2]
-LIST = Path(__file__).with_name("planted_faults.toml")
-PROGRAM = "sumacpost"
+FAULTS_FILE = Path(__file__).with_name("planted_faults.toml")
+PACKAGE = "sumacpost"
 INGRESSES = 8
 SECONDS = 10
 
@@ -61,7 +61,7 @@
 
 def read_planted_faults() -> list[PlantedFault]:
     """Return the list; msgspec.ValidationError if it is none."""
-    return msgspec.toml.decode(LIST.read_bytes(), type=_PlantedFaults).fault
+    return msgspec.toml.decode(FAULTS_FILE.read_bytes(), type=_PlantedFaults).fault
 
 
 def plant(fault: PlantedFault, root: Path) -> None:
@@ -78,12 +78,12 @@
     """Run the soak on a copy of the program with a fault, and return what it found."""
     with tempfile.TemporaryDirectory(prefix="planted-") as name:
         folder = Path(name)
-        shutil.copytree(ROOT / PROGRAM, folder / PROGRAM)
+        shutil.copytree(ROOT / PACKAGE, folder / PACKAGE)
         plant(fault, folder)
         options = {"--seeds": fault.seed, "--ingresses": INGRESSES, "--seconds": SECONDS}
-        words = [str(word) for option in options.items() for word in option]
+        arguments = [str(word) for option in options.items() for word in option]
         subprocess.run(
-            [sys.executable, "-m", "fleetlab", "soak", "--out", "out", *words],
+            [sys.executable, "-m", "fleetlab", "soak", "--out", "out", *arguments],
             cwd=folder,  # from where the copy is imported
             env=os.environ | {"PYTHONPATH": f"{folder}{os.pathsep}{ROOT}"},
             stdout=subprocess.DEVNULL,
--- a/fleetlab/soak/population.py
+++ b/fleetlab/soak/population.py
@@ -14,15 +14,15 @@
 from fleetlab.soak.site import SoakClass, SoakSite
 from fleetlab.stand_in import split_address
 
-LATE_CONNECT_S = 0.3  # after SIGTERM new connections keep coming for so long
-RETRY_PAUSE_S = 0.1  # of a client that finds no ingress
+CONNECT_AFTER_SIGTERM_S = 0.3  # after SIGTERM new connections keep coming for so long
+RECONNECT_DELAY_S = 0.1  # of a client that finds no ingress
 MAX_THINK_S = 0.25
-MAX_REST_S = 2.5
+MAX_IDLE_S = 2.5
 RAMP_S = 1.5  # over which the clients begin
 MAX_PIPELINED = 4
-BEHIND = 6  # requests under way on the connection of a client that pipelines all the time
+PIPELINE_DEPTH = 6  # requests under way on the connection of a client that pipelines all the time
 BAD_CLIENT_DEADLINE_S = 3.0
-BAD_CLIENT_WATCH_S = 4.0
+BAD_CLIENT_WAIT_S = 4.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,9 +32,9 @@
     leave: float = 0.08
     reset: float = 0.5  # of those that leave: by a reset
     slow_writer: float = 0.08
-    rest: float = 0.1
+    idle: float = 0.1
     pipeline: float = 0.08
-    own_timeout: float = 0.3  # the client waits less than its class's deadline
+    shorter_timeout: float = 0.3  # the client waits less than its class's deadline
 
 
 class Population:
@@ -60,24 +60,28 @@
         await asyncio.sleep(self._random.uniform(0.0, RAMP_S))
         while not stop.is_set():
             await asyncio.sleep(self._random.uniform(0.0, MAX_THINK_S))
-            if connection is not None and connection.has_ended():
+            if connection is not None and connection.is_closed():
                 connection.close()
                 connection = None
             if connection is None:
                 connection = await self._connect()
             if connection is None:
-                await asyncio.sleep(RETRY_PAUSE_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
-            await self._use(connection)
+            await self._send_drawn_requests(connection)
         if connection is not None:
             connection.close()
 
     async def _connect(self) -> ClientConnection | None:
         """Connect if the front would still lead clients to the ingress."""
         process_record = self._process.process_record
-        told_to_end = process_record.signalled_at("SIGTERM")
-        since_s = 0.0 if told_to_end is None else time.monotonic() - told_to_end
-        if not self._process.running or process_record.ready_at is None or since_s > LATE_CONNECT_S:
+        terminated_at = process_record.signalled_at("SIGTERM")
+        elapsed_s = 0.0 if terminated_at is None else time.monotonic() - terminated_at
+        if (
+            not self._process.running
+            or process_record.ready_at is None
+            or elapsed_s > CONNECT_AFTER_SIGTERM_S
+        ):
             return None
         try:
             return await ClientConnection.connect(
@@ -86,22 +90,22 @@
         except (OSError, TimeoutError):
             return None
 
-    async def _use(self, connection: ClientConnection) -> None:
+    async def _send_drawn_requests(self, connection: ClientConnection) -> None:
         """Send one request, or several behind another, in one of the ways of the mix."""
         draw = self._random.random()
         mix = self._mix
         if draw < mix.leave:
-            record = await connection.send(self._plan())
+            record = await connection.send(self._draw_request())
             if record.sent_at is not None:
                 reset = self._random.random() < mix.reset
                 await connection.leave(record, self._random.uniform(0.0, 0.6), reset)
         elif draw < mix.leave + mix.slow_writer:
             await self._exchange(connection, pieces=4, pause_s=0.05)
-        elif draw < mix.leave + mix.slow_writer + mix.rest:
-            await asyncio.sleep(self._random.uniform(0.2, MAX_REST_S))
-            if not connection.has_ended():
+        elif draw < mix.leave + mix.slow_writer + mix.idle:
+            await asyncio.sleep(self._random.uniform(0.2, MAX_IDLE_S))
+            if not connection.is_closed():
                 await self._exchange(connection)
-        elif draw < mix.leave + mix.slow_writer + mix.rest + mix.pipeline:
+        elif draw < mix.leave + mix.slow_writer + mix.idle + mix.pipeline:
             await self._pipeline(connection)
         else:
             await self._exchange(connection)
@@ -109,7 +113,7 @@
     async def _exchange(
         self, connection: ClientConnection, pieces: int = 1, pause_s: float = 0.0
     ) -> None:
-        record = await connection.send(self._plan(), pieces, pause_s)
+        record = await connection.send(self._draw_request(), pieces, pause_s)
         if record.sent_at is not None:
             await connection.receive(record)
 
@@ -119,11 +123,11 @@
         All have the same time: a response can't come before that to the request ahead.
         """
         records: list[ClientRequest] = []
-        timeout_s = self._plan().timeout_s
+        timeout_s = self._draw_request().timeout_s
         for _ in range(self._random.randint(2, MAX_PIPELINED)):
-            if connection.has_ended():
+            if connection.is_closed():
                 break
-            plan = replace(self._plan(), timeout_s=timeout_s)
+            plan = replace(self._draw_request(), timeout_s=timeout_s)
             records.append(await connection.send(plan))
         for record in records:
             if record.sent_at is None or not connection.open:
@@ -136,30 +140,30 @@
         while not stop.is_set():
             connection = await self._connect()
             if connection is None:
-                await asyncio.sleep(RETRY_PAUSE_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
-            await self._keep_busy(connection, stop)
+            await self._fill_pipeline(connection, stop)
             connection.close()
 
-    async def _keep_busy(self, connection: ClientConnection, stop: asyncio.Event) -> None:
+    async def _fill_pipeline(self, connection: ClientConnection, stop: asyncio.Event) -> None:
         timeout_s = min(request_class.deadline_s for request_class in self._site.classes)
-        waiting: deque[ClientRequest] = deque()
-        while waiting or not stop.is_set():
-            while len(waiting) < BEHIND and not (stop.is_set() or connection.has_ended()):
-                plan = replace(self._plan(), timeout_s=timeout_s)
-                waiting.append(await connection.send(plan))
-            if not waiting:
+        pending: deque[ClientRequest] = deque()
+        while pending or not stop.is_set():
+            while len(pending) < PIPELINE_DEPTH and not (stop.is_set() or connection.is_closed()):
+                plan = replace(self._draw_request(), timeout_s=timeout_s)
+                pending.append(await connection.send(plan))
+            if not pending:
                 return
-            record = waiting.popleft()
+            record = pending.popleft()
             if connection.open:
                 await connection.receive(record)
             else:
                 record.ended_at = time.monotonic()
 
-    def _plan(self) -> RequestPlan:
+    def _draw_request(self) -> RequestPlan:
         request_class = self._draw_class()
         timeout_s = request_class.deadline_s
-        if self._random.random() < self._mix.own_timeout:
+        if self._random.random() < self._mix.shorter_timeout:
             timeout_s *= self._random.uniform(0.1, 1.0)
         return RequestPlan(
             f"{self._random.getrandbits(64):016x}",
@@ -178,19 +182,19 @@
         """Now and then a client sends half a request, or what is none, and stays."""
         while not stop.is_set():
             await asyncio.sleep(self._random.uniform(0.5, 2.0))
-            kind, data = self._bad_input()
+            kind, data = self._draw_bad_input()
             await self._run_bad_client(kind, data)
 
-    def _bad_input(self) -> tuple[str, bytes]:
-        whole = self._plan().encode()
+    def _draw_bad_input(self) -> tuple[str, bytes]:
+        valid_request = self._draw_request().encode()
         kinds = {
-            "half a head": whole[: len(whole) // 3],
+            "half a head": valid_request[: len(valid_request) // 3],
             "no HTTP": b"\x16\x03\x01 what is this\r\n\r\n",
-            "no id": whole.replace(b"Request-Id", b"X-Request-Id"),
-            "two lengths": whole.replace(
+            "no id": valid_request.replace(b"Request-Id", b"X-Request-Id"),
+            "two lengths": valid_request.replace(
                 b"Host:", b"Content-Length: 0\r\nTransfer-Encoding: chunked\r\nHost:"
             ),
-            "unknown class": whole.replace(b" /", b" /nowhere"),
+            "unknown class": valid_request.replace(b" /", b" /nowhere"),
         }
         kind = self._random.choice(list(kinds))
         return kind, kinds[kind]
@@ -209,7 +213,7 @@
         self._record.bad_clients.append(record)
         try:
             writer.write(data)
-            async with asyncio.timeout(BAD_CLIENT_WATCH_S):
+            async with asyncio.timeout(BAD_CLIENT_WAIT_S):
                 await reader.read(64)
             record.concluded_at = time.monotonic()
         except ConnectionError:
--- a/fleetlab/soak/process_oracles.py
+++ b/fleetlab/soak/process_oracles.py
@@ -10,7 +10,7 @@
 
 AUXILIARY_CONNECTIONS = 2  # of a process: to discovery and the counter, which come and go
 
-_FAULT_LINES = re.compile(
+_FAULT_PATTERN = re.compile(
     r"rule violated|event failed|supervised task failed|Traceback|left without a response"
 )
 
@@ -29,14 +29,14 @@
             continue
         killed_at = process.signalled_at("SIGKILL")
         if killed_at is not None:
-            drained = evidence.has_drained(process) or _held_up_before(process, killed_at)
+            drained = evidence.has_drained(process) or _paused_before(process, killed_at)
             if terminated_at is not None and not drained:
                 yield Violation("killed_in_drain", name, str(process))
         elif terminated_at is None or process.exit_code != 0:
             yield Violation("crashed", name, str(process))
         else:
-            took_s = process.ended_at - terminated_at
-            evidence.record_bound_ratio("killed_in_drain", took_s / evidence.site.kill_after_s)
+            drain_s = process.ended_at - terminated_at
+            evidence.record_bound_ratio("killed_in_drain", drain_s / evidence.site.kill_after_s)
 
 
 def check_descriptors(evidence: Evidence) -> Iterable[Violation]:
@@ -44,21 +44,23 @@
 
     And its connections to backends, which it may keep for a while: only the sum is known.
     """
-    rested = [
+    counted = [
         process for process in evidence.record.lives if process.descriptors_at_rest is not None
     ]
-    more = sum(
-        (process.descriptors_at_rest or 0) - process.descriptors_at_start for process in rested
+    excess = sum(
+        (process.descriptors_at_rest or 0) - process.descriptors_at_start for process in counted
     )
-    more -= evidence.record.backend_connections_at_rest
-    allowed = AUXILIARY_CONNECTIONS * len(rested)
-    if rested:
-        evidence.record_bound_ratio("descriptors", max(0, more) / allowed)
-    if more > allowed:
-        yield Violation("descriptors", f"{len(rested)} processes", f"{more} more than at the start")
+    excess -= evidence.record.backend_connections_at_rest
+    allowed = AUXILIARY_CONNECTIONS * len(counted)
+    if counted:
+        evidence.record_bound_ratio("descriptors", max(0, excess) / allowed)
+    if excess > allowed:
+        yield Violation(
+            "descriptors", f"{len(counted)} processes", f"{excess} more than at the start"
+        )
 
 
-def _held_up_before(process: ProcessRecord, at: float) -> bool:
+def _paused_before(process: ProcessRecord, at: float) -> bool:
     """Return whether a process was stopped for a while just before a time."""
     return any(name == "SIGSTOP" and at - 1.0 < when <= at for name, when in process.signals)
 
@@ -67,5 +69,5 @@
     """No ingress logs a fault of the program, or a rule that it has broken by its own count."""
     for ingress, text in evidence.logs.items():
         for line in text.splitlines():
-            if _FAULT_LINES.search(line):
+            if _FAULT_PATTERN.search(line):
                 yield Violation("logged_fault", ingress, line)
--- a/fleetlab/soak/request_oracles.py
+++ b/fleetlab/soak/request_oracles.py
@@ -40,28 +40,30 @@
             if not evidence.check_bound(
                 "late", late_s, MAX_LATENESS_S + SLACK_S, request.ingress, interval
             ):
-                yield _lost(request, f"answered {late_s:.3f} s after its time")
+                yield _lost_violation(request, f"answered {late_s:.3f} s after its time")
             continue
         process = evidence.process_at(request.ingress, request.sent_at)
         if process is None or _killed_without_warning(process, request):
             continue
-        taken = request.request_id in accepted or request.request_id in forwarded
-        if taken:
-            yield _lost(request, "taken, and never answered whole")
+        accepted_or_forwarded = request.request_id in accepted or request.request_id in forwarded
+        if accepted_or_forwarded:
+            yield _lost_violation(request, "taken, and never answered whole")
         elif request.ended_at is None:
-            yield _lost(request, "neither answered nor closed")
+            yield _lost_violation(request, "neither answered nor closed")
         elif _open_at_sigkill(process, request):
-            yield _lost(request, "unanswered at SIGKILL, on a connection still open")
-        elif _closed_unused(request) and not (evidence.crowd or _draining(process, request)):
-            yield _lost(request, "a new connection was closed with no response")
+            yield _lost_violation(request, "unanswered at SIGKILL, on a connection still open")
+        elif _closed_while_new(request) and not (
+            evidence.crowd or _closed_in_drain(process, request)
+        ):
+            yield _lost_violation(request, "a new connection was closed with no response")
 
 
-def _closed_unused(request: ClientRequest) -> bool:
+def _closed_while_new(request: ClientRequest) -> bool:
     """Return whether a connection was closed before it can have been taken for one at rest."""
     return request.first_on_connection and request.rested_s < MIN_IDLE_CLOSE_S
 
 
-def _lost(request: ClientRequest, how: str) -> Violation:
+def _lost_violation(request: ClientRequest, how: str) -> Violation:
     return Violation("lost", request.request_id, f"to {request.ingress}: {how}: {request}")
 
 
@@ -84,7 +86,7 @@
     )
 
 
-def _draining(process: ProcessRecord, request: ClientRequest) -> bool:
+def _closed_in_drain(process: ProcessRecord, request: ClientRequest) -> bool:
     terminated_at = first_termination_signal_at(process)
     return (
         terminated_at is not None
@@ -99,13 +101,15 @@
     for request in evidence.record.requests:
         if request.status != HTTP_OK:
             continue
-        made = [
+        served_bodies = [
             attempt.body
             for attempt in forwarded.get(request.request_id, ())
             if attempt.result is AttemptResult.SERVED
         ]
-        if request.body not in made:
-            yield Violation("served_unmade", request.request_id, f"{request.body!r}, made: {made}")
+        if request.body not in served_bodies:
+            yield Violation(
+                "served_unmade", request.request_id, f"{request.body!r}, made: {served_bodies}"
+            )
 
 
 def check_extra_responses(evidence: Evidence) -> Iterable[Violation]:
@@ -121,9 +125,9 @@
     for request in evidence.record.requests:
         if request.effect is not Effect.NOT_IDEMPOTENT or request.status not in (429, 503):
             continue
-        ran = [a for a in forwarded.get(request.request_id, ()) if may_have_run(a)]
-        if ran:
-            yield Violation("rejected_after_run", request.request_id, f"{request}: {ran}")
+        executed = [a for a in forwarded.get(request.request_id, ()) if may_have_run(a)]
+        if executed:
+            yield Violation("rejected_after_run", request.request_id, f"{request}: {executed}")
 
 
 def check_bad_clients(evidence: Evidence) -> Iterable[Violation]:
--- a/fleetlab/soak/run.py
+++ b/fleetlab/soak/run.py
@@ -31,10 +31,12 @@
 from fleetlab.system_faults.control import SystemFault, SystemFaults
 from fleetlab.system_faults.library import build_library
 
-STARTS_AT_ONCE = 8  # processes that start side by side
-LAST_REQUESTS_S = 1.0  # clients may go on for so long after the last process has been told to end
+MAX_CONCURRENT_STARTS = 8  # processes that start side by side
+REQUESTS_AFTER_SIGTERM_S = (
+    1.0  # clients may go on for so long after the last process has been told to end
+)
 COUNTER_DELAY_S = 0.15  # of each piece on a path to the counter that is delayed
-REST_S = 1.0  # from the end of the last client to the count of descriptors
+DESCRIPTOR_COUNT_DELAY_S = 1.0  # from the end of the last client to the count of descriptors
 CROWDED_SOCKETS = 96  # of an ingress that idle clients are to crowd
 
 
@@ -94,18 +96,20 @@
             await self._start_backends(resources)
             counter = await self._start_counter(resources)
             await self._start_ingresses(resources, counter)
-            await self._load()
+            await self._run_load()
         self._record.list_changes += self._shared.changes
         for node in self._nodes:
             self._record.lives += node.process.process_records
             self._count_failed_calls(node.process.system_faults)
-            self._record.list_changes += [told for agent in node.agents for told in agent.told]
+            self._record.list_changes += [
+                change for agent in node.agents for change in agent.notifications
+            ]
         logs = {node.process.name: node.process.log_text() for node in self._nodes}
         return Evidence(self._record, self._site, logs, self._plan.crowd, os.getpid())
 
     def _count_failed_calls(self, faults: SystemFaults) -> None:
         for kind in SystemFault:
-            if count := faults.count(kind):
+            if count := faults.count_failed_calls(kind):
                 name = f"calls_failed_{kind.name.lower()}"
                 self._record.faults[name] = self._record.faults.get(name, 0) + count
 
@@ -138,12 +142,12 @@
         return self._counter_path.address
 
     async def _start_ingresses(self, resources: AsyncExitStack, counter: str) -> None:
-        turns = asyncio.Semaphore(STARTS_AT_ONCE)
+        start_slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
         faults = {fault.kind for fault in self._plan.faults}
         library = build_library(self._folder) if faults & SYSTEM_FAULT_KINDS else None
 
         async def start(process: IngressProcess) -> None:
-            async with turns:
+            async with start_slots:
                 await process.start()
 
         for number in range(self._plan.ingresses):
@@ -168,7 +172,7 @@
         for agent in node.agents:
             await agent.stop()
 
-    async def _load(self) -> None:
+    async def _run_load(self) -> None:
         """Run clients and faults, then end all processes while the clients go on."""
         stop = asyncio.Event()
         monitor = asyncio.create_task(self._waits.run())
@@ -193,11 +197,13 @@
         started_at = time.monotonic()
         waited_s = cpu_pressure_s()
         try:
-            later = tuple(fault for fault in self._plan.faults if not fault.before_start)
-            await injector.run(later, started_at)
+            faults_after_start = tuple(
+                fault for fault in self._plan.faults if not fault.before_start
+            )
+            await injector.run(faults_after_start, started_at)
             await asyncio.sleep(max(0.0, started_at + self._plan.seconds - time.monotonic()))
             if self._plan.clients_leave_first:
-                await self._rest(stop, clients)
+                await self._count_descriptors_at_rest(stop, clients)
             await asyncio.gather(
                 *(node.process.terminate(self._site.kill_after_s) for node in self._nodes)
             )
@@ -208,11 +214,13 @@
             elapsed_s = time.monotonic() - started_at
             self.cpu_pressure = (cpu_pressure_s() - waited_s) / elapsed_s
 
-    async def _rest(self, stop: asyncio.Event, clients: list[asyncio.Task[None]]) -> None:
+    async def _count_descriptors_at_rest(
+        self, stop: asyncio.Event, clients: list[asyncio.Task[None]]
+    ) -> None:
         """Let the clients leave, and count what the processes have open then."""
         stop.set()
         await asyncio.gather(*clients)
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(DESCRIPTOR_COUNT_DELAY_S)
         open_at_backends = sum(len(backend.connections) for backend in self._backends)
         self._record.backend_connections_at_rest = open_at_backends
         for node in self._nodes:
@@ -238,7 +246,7 @@
         statuses,
         len(record.attempts),
         record.faults,
-        {rule: round(part, 3) for rule, part in sorted(evidence.bound_ratios.items())},
+        {rule: round(ratio, 3) for rule, ratio in sorted(evidence.bound_ratios.items())},
         dict(evidence.excused),
         round(1000 * max((wait.waited_s for wait in record.waits), default=0.0), 1),
         round(run.cpu_pressure, 2),
--- a/fleetlab/soak/runs.py
+++ b/fleetlab/soak/runs.py
@@ -48,7 +48,7 @@
         folder = Path(name)
         result, evidence = await run_plan(plan, folder)
         if result.violations:
-            _keep(out / f"seed-{seed}", folder, result, evidence)
+            _save_failed_run(out / f"seed-{seed}", folder, result, evidence)
     append_line(out / "soak.jsonl", result)
     return result
 
@@ -70,7 +70,7 @@
     if seed >= FIRST_CLIENTS_LEAVE_SEED:
         plan = make_system_fault_plan(seed, ingresses or draw_ingresses(seed), seconds)
         return replace(plan, clients_leave_first=True)
-    few = Random(seed).randint(*STRESS_INGRESSES)
+    drawn_ingresses = Random(seed).randint(*STRESS_INGRESSES)
     if seed < FIRST_SHUTDOWN_SEED:
         make = make_slow_start_plan
     elif seed < FIRST_PAUSE_SEED:
@@ -79,7 +79,7 @@
         make = make_pause_plan
     else:
         make = make_wrong_clock_plan
-    return make(seed, ingresses or few, seconds)
+    return make(seed, ingresses or drawn_ingresses, seconds)
 
 
 def draw_ingresses(seed: int) -> int:
@@ -88,7 +88,7 @@
     return MIN_INGRESSES + round((MAX_INGRESSES - MIN_INGRESSES) * share)
 
 
-def _keep(target: Path, folder: Path, result: SoakResult, evidence: Evidence) -> None:
+def _save_failed_run(target: Path, folder: Path, result: SoakResult, evidence: Evidence) -> None:
     shutil.copytree(folder, target, dirs_exist_ok=True)
     (target / "result.json").write_bytes(msgspec.json.format(msgspec.json.encode(result)))
     (target / "record.json").write_bytes(msgspec.json.encode(evidence.record))
@@ -102,7 +102,7 @@
         f"{result.requests} requests, {result.attempts} attempts, {sum(result.faults.values())} "
         f"faults, longest wait {result.longest_wait_ms:.0f} ms, "
         f"cpu pressure {result.cpu_pressure:.2f}: {dict(rules) or 'no violation'}",
-        "  closest: " + " ".join(f"{rule}={part:.2f}" for rule, part in result.closest.items()),
+        "  closest: " + " ".join(f"{rule}={ratio:.2f}" for rule, ratio in result.closest.items()),
     ]
     if result.excused:
         lines.append(f"  excused, as a process waited for a processor: {result.excused}")
--- a/fleetlab/soak/schedule.py
+++ b/fleetlab/soak/schedule.py
@@ -67,7 +67,7 @@
     kind for kind in FaultKind if kind.value.startswith(("system_", "clock_"))
 )
 
-_INGRESS_FAULTS = (
+_INGRESS_FAULT_CHANCES = (
     (FaultKind.RESTART, 0.8),
     (FaultKind.KILL, 0.1),
     (FaultKind.RELOAD, 0.3),
@@ -155,7 +155,7 @@
     crowd = random.random() < CROWD_CHANCE
     faults = [
         *draw_ingress_faults(random, ingresses, seconds, crowd),
-        *_backend_faults(random, backends, seconds),
+        *_draw_backend_faults(random, backends, seconds),
     ]
     return SoakPlan(
         seed,
@@ -197,10 +197,10 @@
     """Draw what befalls the processes and their agents."""
     faults = []
     for target in range(ingresses):
-        for kind, chance in _INGRESS_FAULTS:
+        for kind, chance in _INGRESS_FAULT_CHANCES:
             if random.random() < chance:
                 at_s = random.uniform(FAULT_FREE_S, seconds)
-                faults.append(_ingress_fault(random, kind, target, at_s))
+                faults.append(_draw_ingress_fault(random, kind, target, at_s))
         if random.random() < LIST_FAULT_CHANCE:
             kind = random.choice(_LIST_FAULTS)
             at_s = random.uniform(FAULT_FREE_S, seconds)
@@ -211,7 +211,7 @@
     return faults
 
 
-def _ingress_fault(random: Random, kind: FaultKind, target: int, at_s: float) -> PlannedFault:
+def _draw_ingress_fault(random: Random, kind: FaultKind, target: int, at_s: float) -> PlannedFault:
     gap_s = random.uniform(0.0, 0.4)
     match kind:
         case FaultKind.RESTART:
@@ -222,7 +222,7 @@
             return PlannedFault(at_s, kind, target, random.uniform(0.05, MAX_PAUSE_S))
 
 
-def _backend_faults(random: Random, backends: int, seconds: float) -> list[PlannedFault]:
+def _draw_backend_faults(random: Random, backends: int, seconds: float) -> list[PlannedFault]:
     """Return one to three faults of each of half of the backends, and none of the others."""
     faults = []
     for target in random.sample(range(backends), backends // 2):
--- a/fleetlab/soak/stress_plans.py
+++ b/fleetlab/soak/stress_plans.py
@@ -19,13 +19,13 @@
 from fleetlab.soak.site import SoakClass, SoakSite
 
 CLIENTS = 60  # of all ingresses together, two of each at least
-STARTS_WITHIN_S = 7.0  # all replaced backends are
-SILENCE_BEFORE_S = 0.3  # an agent falls silent so long before a backend begins to drain
-LATE_CHANCE = 0.7  # that some agents are silent during a replacement
-LATE_INGRESSES = 0.2  # of all
+LAST_REPLACEMENT_S = 7.0  # all replaced backends are
+SILENCE_LEAD_S = 0.3  # an agent falls silent so long before a backend begins to drain
+SILENCE_CHANCE = 0.7  # that some agents are silent during a replacement
+SILENT_INGRESS_SHARE = 0.2  # of all
 WAVES = 2  # of hanging backends, each with restarts of half of the ingresses
-WAVE_S = 5.0
-DISTURBED_INGRESSES = 0.25  # of all: the others are not restarted, paused or reloaded
+WAVE_DURATION_S = 5.0
+DISTURBED_INGRESS_SHARE = 0.25  # of all: the others are not restarted, paused or reloaded
 PAUSE_DEADLINES_S = (0.3, 0.6)  # of the longest class: a pause often reaches beyond them
 PAUSE_INTERVAL_S = 0.6  # between two pauses of an ingress, on average
 
@@ -41,41 +41,43 @@
     )
     backends = random.randint(6, 8)
     faults = [
-        *_starts(random, backends, ingresses, seconds, site.drain_grace_s),
-        *_disturbances(random, ingresses, seconds),
+        *_draw_replacements(random, backends, ingresses, seconds, site.drain_grace_s),
+        *_draw_disturbances(random, ingresses, seconds),
     ]
     clients = max(2, CLIENTS // ingresses)
-    return _plan(seed, site, backends, seconds, clients, faults)
+    return _make_plan(seed, site, backends, seconds, clients, faults)
 
 
-def _starts(
+def _draw_replacements(
     random: Random, backends: int, ingresses: int, seconds: float, grace_s: float
 ) -> list[PlannedFault]:
     """Return the replacement of half of the backends, of which some ingresses hear late."""
     faults = []
-    latest_s = min(STARTS_WITHIN_S, seconds / 2)
+    latest_s = min(LAST_REPLACEMENT_S, seconds / 2)
     for target in random.sample(range(backends), backends // 2):
         at_s = random.uniform(FAULT_FREE_S, latest_s)
         away_s = random.uniform(0.3, 0.8)
         faults.append(PlannedFault(at_s, FaultKind.BACKEND_DRAINS, target, 2 * away_s))
-        if random.random() >= LATE_CHANCE:
+        if random.random() >= SILENCE_CHANCE:
             continue
-        silent_s = SILENCE_BEFORE_S + grace_s + away_s + random.uniform(1.5, 3.0)
+        silent_s = SILENCE_LEAD_S + grace_s + away_s + random.uniform(1.5, 3.0)
         faults += [
-            PlannedFault(at_s - SILENCE_BEFORE_S, FaultKind.LIST_SILENT, ingress, silent_s)
-            for ingress in random.sample(range(ingresses), _part(ingresses, LATE_INGRESSES))
+            PlannedFault(at_s - SILENCE_LEAD_S, FaultKind.LIST_SILENT, ingress, silent_s)
+            for ingress in random.sample(
+                range(ingresses), _share_of(ingresses, SILENT_INGRESS_SHARE)
+            )
         ]
     return faults
 
 
-def _disturbances(random: Random, ingresses: int, seconds: float) -> list[PlannedFault]:
+def _draw_disturbances(random: Random, ingresses: int, seconds: float) -> list[PlannedFault]:
     faults = draw_ingress_faults(random, ingresses, seconds, crowd=False)
-    disturbed = random.sample(range(ingresses), _part(ingresses, DISTURBED_INGRESSES))
+    disturbed = random.sample(range(ingresses), _share_of(ingresses, DISTURBED_INGRESS_SHARE))
     return [fault for fault in faults if fault.target in disturbed]
 
 
-def _part(count: int, part: float) -> int:
-    return max(1, round(count * part))
+def _share_of(count: int, share: float) -> int:
+    return max(1, round(count * share))
 
 
 def make_shutdown_plan(seed: int, ingresses: int, seconds: float) -> SoakPlan:
@@ -96,21 +98,21 @@
     faults = []
     for wave in range(WAVES):
         at_s = FAULT_FREE_S + wave * max(0.0, seconds - FAULT_FREE_S - 1) / WAVES
-        faults += _hanging_backends(random, backends, at_s)
-        faults += _restarts(random, shuffled[wave::WAVES], at_s)
-    return _plan(seed, site, backends, seconds, random.randint(4, 6), faults)
+        faults += _draw_hanging_backends(random, backends, at_s)
+        faults += _draw_restarts(random, shuffled[wave::WAVES], at_s)
+    return _make_plan(seed, site, backends, seconds, random.randint(4, 6), faults)
 
 
-def _hanging_backends(random: Random, backends: int, at_s: float) -> list[PlannedFault]:
+def _draw_hanging_backends(random: Random, backends: int, at_s: float) -> list[PlannedFault]:
     kinds = [FaultKind.BACKEND_HANGS, FaultKind.BACKEND_RESETS_LATE] * backends
     targets = random.sample(range(backends), backends - 2)
     return [
-        PlannedFault(at_s, kind, target, WAVE_S)
+        PlannedFault(at_s, kind, target, WAVE_DURATION_S)
         for kind, target in zip(kinds, targets, strict=False)
     ]
 
 
-def _restarts(random: Random, targets: list[int], wave_at_s: float) -> list[PlannedFault]:
+def _draw_restarts(random: Random, targets: list[int], wave_at_s: float) -> list[PlannedFault]:
     return [
         PlannedFault(
             wave_at_s + random.uniform(0.3, 1.5),
@@ -146,10 +148,10 @@
             pause_s = random.uniform(0.05, MAX_PAUSE_S)
             faults.append(PlannedFault(at_s, FaultKind.PAUSE, target, pause_s))
     clients = max(2, CLIENTS // ingresses)
-    return _plan(seed, site, backends, seconds, clients, faults)
+    return _make_plan(seed, site, backends, seconds, clients, faults)
 
 
-def _plan(
+def _make_plan(
     seed: int,
     site: SoakSite,
     backends: int,
--- a/fleetlab/soak/system_schedule.py
+++ b/fleetlab/soak/system_schedule.py
@@ -14,7 +14,7 @@
 ALL_INGRESSES = -1  # the target of a fault that befalls all
 BEFORE_START_S = -1.0  # when a fault begins that is there from the start
 CLOCK_STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
-_KINDS = (
+_SYSTEM_KINDS = (
     FaultKind.SYSTEM_ACCEPT,
     FaultKind.SYSTEM_SOCKET,
     FaultKind.SYSTEM_CONNECT,
@@ -41,13 +41,13 @@
     for target in range(ingresses):
         for _ in range(random.randint(*FAULTS_PER_INGRESS)):
             at_s = random.uniform(FAULT_FREE_S, seconds)
-            kind = random.choice(_KINDS)
+            kind = random.choice(_SYSTEM_KINDS)
             faults.append(PlannedFault(at_s, kind, target, random.uniform(0.5, 3.0)))
         if random.random() < CLOCK_STEP_CHANCE:
             step_s = random.choice(CLOCK_STEPS_S)
             at_s = random.uniform(FAULT_FREE_S, seconds)
             faults.append(PlannedFault(at_s, FaultKind.CLOCK_STEP, target, step_s))
-    faults += _log_faults(random, plan, seconds)
+    faults += _draw_log_fault(random, plan, seconds)
     return replace(plan, faults=tuple(sorted(faults, key=lambda fault: fault.at_s)))
 
 
@@ -76,15 +76,15 @@
     return replace(plan, faults=(*steps, *plan.faults))
 
 
-def _log_faults(random: Random, plan: SoakPlan, seconds: float) -> list[PlannedFault]:
+def _draw_log_fault(random: Random, plan: SoakPlan, seconds: float) -> list[PlannedFault]:
     """Return a log that takes nothing for an ingress that is not restarted, if there is one.
 
     The start of a process, and which requests it took, are read from the log.
     """
     restarts = (FaultKind.RESTART, FaultKind.KILL)
     restarted = {fault.target for fault in plan.faults if fault.kind in restarts}
-    lasting = [target for target in range(plan.ingresses) if target not in restarted]
+    not_restarted = [target for target in range(plan.ingresses) if target not in restarted]
     return [
         PlannedFault(random.uniform(FAULT_FREE_S, seconds), FaultKind.SYSTEM_LOG, target, 1.0)
-        for target in lasting[:1]
+        for target in not_restarted[:1]
     ]
--- a/fleetlab/soak/wait_monitor.py
+++ b/fleetlab/soak/wait_monitor.py
@@ -19,7 +19,7 @@
     def __init__(self, pids: Callable[[], Iterable[int]], waits: list[ProcessWait]) -> None:
         self._pids = pids
         self._waits = waits
-        self._waited_ns: dict[int, int] = {}  # by process, since its start
+        self._total_wait_ns: dict[int, int] = {}  # by process, since its start
 
     async def run(self) -> None:
         """Trace until cancelled."""
@@ -28,24 +28,24 @@
             began_at = loop.time()
             await asyncio.sleep(INTERVAL_S)
             ended_at = loop.time()
-            self._add(os.getpid(), began_at, ended_at, ended_at - began_at - INTERVAL_S)
+            self._record(os.getpid(), began_at, ended_at, ended_at - began_at - INTERVAL_S)
             for pid in self._pids():
-                waited_s = self._waited_since_s(pid)
+                waited_s = self._new_wait_s(pid)
                 if _is_blocked(pid):
                     waited_s = ended_at - began_at
-                self._add(pid, began_at, ended_at, waited_s)
+                self._record(pid, began_at, ended_at, waited_s)
 
-    def _add(self, pid: int, began_at: float, ended_at: float, waited_s: float) -> None:
+    def _record(self, pid: int, began_at: float, ended_at: float, waited_s: float) -> None:
         if waited_s >= MIN_WAIT_S:
             self._waits.append(ProcessWait(pid, began_at, ended_at, round(waited_s, 4)))
 
-    def _waited_since_s(self, pid: int) -> float:
+    def _new_wait_s(self, pid: int) -> float:
         try:
-            _, waited_ns, _ = Path(f"/proc/{pid}/schedstat").read_text().split()
+            _, total_ns, _ = Path(f"/proc/{pid}/schedstat").read_text().split()
         except (OSError, ValueError):
             return 0.0  # it has ended, or the system does not tell
-        since_ns = int(waited_ns) - self._waited_ns.get(pid, int(waited_ns))
-        self._waited_ns[pid] = int(waited_ns)
+        since_ns = int(total_ns) - self._total_wait_ns.get(pid, int(total_ns))
+        self._total_wait_ns[pid] = int(total_ns)
         return since_ns / 1e9
 
 
--- a/fleetlab/system_faults/control.py
+++ b/fleetlab/system_faults/control.py
@@ -11,7 +11,7 @@
 
 
 class SystemFault(IntEnum):
-    """What may fail; the numbers are those of `enum kind` in system_faults.c."""
+    """What may fail; the numbers are those of `enum fault_kind` in system_faults.c."""
 
     ACCEPT = 0  # ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EPROTO or EINTR
     SOCKET = 1  # ENFILE, EMFILE, ENOBUFS or ENOMEM
@@ -24,10 +24,10 @@
 
 
 _CLOCK_STEP = struct.Struct("=q")
-_NUMBER = struct.Struct("=I")
-_RATES_AT = _CLOCK_STEP.size
-_COUNTS_AT = _RATES_AT + _NUMBER.size * len(SystemFault)
-_SIZE = _COUNTS_AT + _NUMBER.size * len(SystemFault)
+_UINT32 = struct.Struct("=I")
+_RATES_OFFSET = _CLOCK_STEP.size
+_COUNTS_OFFSET = _RATES_OFFSET + _UINT32.size * len(SystemFault)
+_SIZE = _COUNTS_OFFSET + _UINT32.size * len(SystemFault)
 
 
 class SystemFaults:
@@ -41,18 +41,18 @@
 
     def set_probability(self, fault: SystemFault, probability: float) -> None:
         """Let calls fail with a probability from 0 to 1."""
-        offset = _RATES_AT + _NUMBER.size * fault
-        _NUMBER.pack_into(self._memory, offset, round(probability * FULL_RATE))
+        offset = _RATES_OFFSET + _UINT32.size * fault
+        _UINT32.pack_into(self._memory, offset, round(probability * FULL_RATE))
 
     def step_clock(self, seconds: float) -> None:
         """Set the wall clock forward, or back, by so much more."""
         (before_ns,) = _CLOCK_STEP.unpack_from(self._memory)
         _CLOCK_STEP.pack_into(self._memory, 0, before_ns + round(seconds * 1e9))
 
-    def count(self, fault: SystemFault) -> int:
+    def count_failed_calls(self, fault: SystemFault) -> int:
         """Return how many calls have failed."""
-        (count,) = _NUMBER.unpack_from(self._memory, _COUNTS_AT + _NUMBER.size * fault)
-        return int(count)
+        (failed_calls,) = _UINT32.unpack_from(self._memory, _COUNTS_OFFSET + _UINT32.size * fault)
+        return int(failed_calls)
 
     def close(self) -> None:
         """Let go of the file; the process keeps the faults that it has."""
--- a/fleetlab/system_faults/system_faults.c
+++ b/fleetlab/system_faults/system_faults.c
@@ -18,11 +18,11 @@
 #include <time.h>
 #include <unistd.h>
 
-#define CERTAIN 1000000u /* the rate of a fault that always comes */
+#define FULL_RATE 1000000u /* the rate of a fault that always comes */
 #define MAX_DESCRIPTORS 65536
 #define MAX_SHORT_BYTES 64
 
-enum kind {
+enum fault_kind {
     ACCEPT,
     SOCKET,
     CONNECT,
@@ -31,19 +31,19 @@
     SHORT_WRITE,
     BROKEN_CONNECTION,
     LOG_WRITE,
-    KINDS
+    KIND_COUNT
 };
 
 struct control {
     int64_t clock_step_ns;
-    uint32_t rates[KINDS]; /* in parts of CERTAIN */
-    uint32_t counts[KINDS]; /* how often each came */
+    uint32_t rates[KIND_COUNT]; /* in parts of FULL_RATE */
+    uint32_t counts[KIND_COUNT]; /* how often each came */
 };
 
 static struct control no_faults;
 static struct control *control = &no_faults;
 static uint64_t random_state = 88172645463325252u;
-static char connected[MAX_DESCRIPTORS]; /* whether the process has made this connection itself */
+static char outgoing[MAX_DESCRIPTORS]; /* whether the process has made this connection itself */
 
 #define REAL(name) \
     ({ \
@@ -74,10 +74,10 @@
     return (uint32_t)(random_state >> 16) % below;
 }
 
-static int comes(enum kind kind)
+static int should_fail(enum fault_kind kind)
 {
     uint32_t rate = control->rates[kind];
-    if (!rate || draw(CERTAIN) >= rate)
+    if (!rate || draw(FULL_RATE) >= rate)
         return 0;
     control->counts[kind]++;
     return 1;
@@ -105,33 +105,33 @@
     return domain == AF_INET;
 }
 
-static int breaks(int descriptor)
+static int should_break(int descriptor)
 {
-    return descriptor >= 0 && descriptor < MAX_DESCRIPTORS && connected[descriptor]
-        && comes(BROKEN_CONNECTION);
+    return descriptor >= 0 && descriptor < MAX_DESCRIPTORS && outgoing[descriptor]
+        && should_fail(BROKEN_CONNECTION);
 }
 
-static size_t shortened(enum kind kind, int descriptor, size_t size)
+static size_t limit_size(enum fault_kind kind, int descriptor, size_t size)
 {
-    if (size < 2 || !control->rates[kind] || !is_inet(descriptor) || !comes(kind))
+    if (size < 2 || !control->rates[kind] || !is_inet(descriptor) || !should_fail(kind))
         return size;
     return 1 + draw(size < MAX_SHORT_BYTES ? size : MAX_SHORT_BYTES);
 }
 
 /* ---- connections */
 
-static void note_new(int descriptor, char made_here)
+static void mark_descriptor(int descriptor, char is_outgoing)
 {
     if (descriptor >= 0 && descriptor < MAX_DESCRIPTORS)
-        connected[descriptor] = made_here;
+        outgoing[descriptor] = is_outgoing;
 }
 
 int accept4(int listener, struct sockaddr *address, socklen_t *size, int flags)
 {
-    if (comes(ACCEPT))
+    if (should_fail(ACCEPT))
         return FAIL_WITH(ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EPROTO, EINTR);
     int descriptor = REAL(accept4)(listener, address, size, flags);
-    note_new(descriptor, 0);
+    mark_descriptor(descriptor, 0);
     return descriptor;
 }
 
@@ -142,16 +142,16 @@
 
 int socket(int domain, int type, int protocol)
 {
-    if (domain == AF_INET && comes(SOCKET))
+    if (domain == AF_INET && should_fail(SOCKET))
         return FAIL_WITH(ENFILE, EMFILE, ENOBUFS, ENOMEM);
     int descriptor = REAL(socket)(domain, type, protocol);
-    note_new(descriptor, 0);
+    mark_descriptor(descriptor, 0);
     return descriptor;
 }
 
 int connect(int descriptor, const struct sockaddr *address, socklen_t size)
 {
-    if (address->sa_family == AF_INET && comes(CONNECT)) {
+    if (address->sa_family == AF_INET && should_fail(CONNECT)) {
         if (draw(8) == 0) { /* interrupted, which leaves the connection in the making */
             int result = REAL(connect)(descriptor, address, size);
             if (result && errno == EINPROGRESS)
@@ -160,7 +160,7 @@
         }
         return FAIL_WITH(EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ENOBUFS, ETIMEDOUT, EAGAIN);
     }
-    note_new(descriptor, address->sa_family == AF_INET);
+    mark_descriptor(descriptor, address->sa_family == AF_INET);
     return REAL(connect)(descriptor, address, size);
 }
 
@@ -168,7 +168,7 @@
 
 int epoll_wait(int epoll, struct epoll_event *events, int count, int timeout)
 {
-    if (comes(WAIT_INTERRUPTED))
+    if (should_fail(WAIT_INTERRUPTED))
         return FAIL_WITH(EINTR);
     return REAL(epoll_wait)(epoll, events, count, timeout);
 }
@@ -176,7 +176,7 @@
 int epoll_pwait(
     int epoll, struct epoll_event *events, int count, int timeout, const sigset_t *signals)
 {
-    if (comes(WAIT_INTERRUPTED))
+    if (should_fail(WAIT_INTERRUPTED))
         return FAIL_WITH(EINTR);
     return REAL(epoll_pwait)(epoll, events, count, timeout, signals);
 }
@@ -185,42 +185,42 @@
 
 ssize_t read(int descriptor, void *buffer, size_t size)
 {
-    if (breaks(descriptor))
+    if (should_break(descriptor))
         return FAIL_WITH(ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET);
-    return REAL(read)(descriptor, buffer, shortened(SHORT_READ, descriptor, size));
+    return REAL(read)(descriptor, buffer, limit_size(SHORT_READ, descriptor, size));
 }
 
 ssize_t recv(int descriptor, void *buffer, size_t size, int flags)
 {
-    if (breaks(descriptor))
+    if (should_break(descriptor))
         return FAIL_WITH(ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET);
-    return REAL(recv)(descriptor, buffer, shortened(SHORT_READ, descriptor, size), flags);
+    return REAL(recv)(descriptor, buffer, limit_size(SHORT_READ, descriptor, size), flags);
 }
 
 /* ---- writes */
 
 ssize_t write(int descriptor, const void *buffer, size_t size)
 {
-    if (descriptor == STDERR_FILENO && comes(LOG_WRITE))
+    if (descriptor == STDERR_FILENO && should_fail(LOG_WRITE))
         return FAIL_WITH(ENOSPC, EIO, EPIPE, EAGAIN);
-    if (breaks(descriptor))
+    if (should_break(descriptor))
         return FAIL_WITH(ETIMEDOUT, EHOSTUNREACH, EPIPE);
-    return REAL(write)(descriptor, buffer, shortened(SHORT_WRITE, descriptor, size));
+    return REAL(write)(descriptor, buffer, limit_size(SHORT_WRITE, descriptor, size));
 }
 
 ssize_t send(int descriptor, const void *buffer, size_t size, int flags)
 {
-    if (breaks(descriptor))
+    if (should_break(descriptor))
         return FAIL_WITH(ETIMEDOUT, EHOSTUNREACH, EPIPE);
-    return REAL(send)(descriptor, buffer, shortened(SHORT_WRITE, descriptor, size), flags);
+    return REAL(send)(descriptor, buffer, limit_size(SHORT_WRITE, descriptor, size), flags);
 }
 
 ssize_t writev(int descriptor, const struct iovec *parts, int count)
 {
-    if (breaks(descriptor))
+    if (should_break(descriptor))
         return FAIL_WITH(ETIMEDOUT, EHOSTUNREACH, EPIPE);
     if (count > 0 && parts->iov_len) {
-        size_t size = shortened(SHORT_WRITE, descriptor, parts->iov_len);
+        size_t size = limit_size(SHORT_WRITE, descriptor, parts->iov_len);
         if (size < parts->iov_len)
             return REAL(write)(descriptor, parts->iov_base, size);
     }
@@ -229,10 +229,10 @@
 
 ssize_t sendmsg(int descriptor, const struct msghdr *message, int flags)
 {
-    if (breaks(descriptor))
+    if (should_break(descriptor))
         return FAIL_WITH(ETIMEDOUT, EHOSTUNREACH, EPIPE);
     if (message->msg_iovlen && message->msg_iov->iov_len && !message->msg_controllen) {
-        size_t size = shortened(SHORT_WRITE, descriptor, message->msg_iov->iov_len);
+        size_t size = limit_size(SHORT_WRITE, descriptor, message->msg_iov->iov_len);
         if (size < message->msg_iov->iov_len)
             return REAL(send)(descriptor, message->msg_iov->iov_base, size, flags);
     }
@@ -243,7 +243,7 @@
 
 #define NS_PER_S 1000000000ll
 
-static void step(struct timespec *time)
+static void add_clock_step(struct timespec *time)
 {
     int64_t ns = time->tv_sec * NS_PER_S + time->tv_nsec + control->clock_step_ns;
     time->tv_sec = ns / NS_PER_S;
@@ -254,7 +254,7 @@
 {
     int result = REAL(clock_gettime)(clock, time);
     if (!result && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE))
-        step(time);
+        add_clock_step(time);
     return result;
 }
 
@@ -266,7 +266,7 @@
         return result;
     now.tv_sec = time->tv_sec;
     now.tv_nsec = time->tv_usec * 1000;
-    step(&now);
+    add_clock_step(&now);
     time->tv_sec = now.tv_sec;
     time->tv_usec = now.tv_nsec / 1000;
     return 0;
--- a/tests/fleetlab/test_system_faults.py
+++ b/tests/fleetlab/test_system_faults.py
@@ -50,12 +50,12 @@
 
 @pytest.fixture
 def faults(tmp_path: Path) -> Iterator[SystemFaults]:
-    made = SystemFaults(tmp_path / "faults")
-    yield made
-    made.close()
+    created = SystemFaults(tmp_path / "faults")
+    yield created
+    created.close()
 
 
-def run(library: Path, faults: SystemFaults, code: str) -> str:
+def run_python(library: Path, faults: SystemFaults, code: str) -> str:
     return subprocess.run(
         [sys.executable, "-c", PROLOGUE + code],
         env=os.environ | library_environment(library, faults),
@@ -70,18 +70,18 @@
 def test_a_call_fails_where_it_is_asked_to_and_never_else(
     library: Path, faults: SystemFaults, fault: SystemFault
 ) -> None:
-    assert run(library, faults, ACTIONS[fault]) == "fine"
-    assert not any(faults.count(kind) for kind in SystemFault)
+    assert run_python(library, faults, ACTIONS[fault]) == "fine"
+    assert not any(faults.count_failed_calls(kind) for kind in SystemFault)
     faults.set_probability(fault, 1.0)
-    assert "fine" not in {run(library, faults, ACTIONS[fault]) for _ in range(6)}
-    assert faults.count(fault) >= 6
+    assert "fine" not in {run_python(library, faults, ACTIONS[fault]) for _ in range(6)}
+    assert faults.count_failed_calls(fault) >= 6
 
 
 def test_a_wait_that_is_interrupted_goes_on(library: Path, faults: SystemFaults) -> None:
     faults.set_probability(SystemFault.WAIT_INTERRUPTED, 0.5)
     code = "p = select.epoll(); [p.poll(0.001) for _ in range(50)]; print('over')"
-    assert run(library, faults, code) == "over"
-    assert faults.count(SystemFault.WAIT_INTERRUPTED)
+    assert run_python(library, faults, code) == "over"
+    assert faults.count_failed_calls(SystemFault.WAIT_INTERRUPTED)
 
 
 def test_the_wall_clock_is_stepped_and_the_monotonic_one_is_not(
@@ -89,7 +89,7 @@
 ) -> None:
     faults.step_clock(-3600)
     faults.step_clock(5)
-    wall, monotonic = run(library, faults, "print(time.time(), time.monotonic())").split()
+    wall, monotonic = run_python(library, faults, "print(time.time(), time.monotonic())").split()
     assert float(wall) - time.time() == pytest.approx(-3595, abs=10)
     assert float(monotonic) == pytest.approx(time.monotonic(), abs=10)
 
--- a/tests/soak/builders.py
+++ b/tests/soak/builders.py
@@ -81,18 +81,18 @@
     return [attempt(10.0 + number / 1000) for number in range(count)]
 
 
-def burst_from_two_ingresses(told: int, late: int) -> Evidence:
+def burst_from_two_ingresses(notified: int, late: int) -> Evidence:
     """Return a burst at a starting backend from an ingress that was told, and from a late one.
 
     The rule allows 108.4 requests in its window, and two thirds of it are 72.3.
     """
-    attempts = startup_burst(told + late)
+    attempts = startup_burst(notified + late)
     requests = []
-    for number, made in enumerate(attempts):
-        made.request_id = f"{number:016x}"
-        ingress = "n0" if number < told else "n1"
+    for number, new_attempt in enumerate(attempts):
+        new_attempt.request_id = f"{number:016x}"
+        ingress = "n0" if number < notified else "n1"
         requests.append(
-            ClientRequest(made.request_id, ingress, Effect.IDEMPOTENT, 2.0, False, 10.0)
+            ClientRequest(new_attempt.request_id, ingress, Effect.IDEMPOTENT, 2.0, False, 10.0)
         )
     return evidence(
         *requests,
--- a/tests/soak/support.py
+++ b/tests/soak/support.py
@@ -80,19 +80,17 @@
 
 
 async def send_late_in_drain(
-    running_ingress: RunningIngress, connect_after_s: float, send_after_s: float
+    ingress: RunningIngress, connect_after_s: float, send_after_s: float
 ) -> ClientRequest:
     """Send SIGTERM, connect and send a request so long after it; SIGKILL as early as it may come.
 
     Return the request, with its response if there was one.
     """
-    ending = asyncio.create_task(
-        running_ingress.process.terminate(running_ingress.site.kill_after_s)
-    )
+    ending = asyncio.create_task(ingress.process.terminate(ingress.site.kill_after_s))
     await asyncio.sleep(connect_after_s)
-    connection = await running_ingress.connect()
+    connection = await ingress.connect()
     await asyncio.sleep(send_after_s - connect_after_s)
-    record = await connection.send(running_ingress.plan())
+    record = await connection.send(ingress.plan())
     await connection.receive(record)
     connection.close()
     await ending
--- a/tests/soak/test_oracles.py
+++ b/tests/soak/test_oracles.py
@@ -155,11 +155,11 @@
     ),
     "ingresses that were told and a late one overload a starting backend": (
         "slow_start",
-        lambda: burst_from_two_ingresses(told=75, late=34),
+        lambda: burst_from_two_ingresses(notified=75, late=34),
     ),
     "ingresses that were told of a start leave no room for a late one": (
         "slow_start_room",
-        lambda: burst_from_two_ingresses(told=73, late=0),
+        lambda: burst_from_two_ingresses(notified=73, late=0),
     ),
     "a starting backend is overloaded by a process that was told anew": (
         "slow_start",
@@ -209,7 +209,7 @@
 
 ALLOWED: dict[str, Callable[[], Evidence]] = {
     "a late ingress that overloads a starting backend": lambda: burst_from_two_ingresses(
-        told=72, late=40
+        notified=72, late=40
     ),
     "a drain's late send while its process waited for a processor": lambda: evidence(
         served_request(sent_at=9.9),
@@ -315,7 +315,7 @@
 
 
 def test_a_report_says_how_near_each_rule_was_come() -> None:
-    judged = evidence(served_request(), attempts=[attempt(10.01, told_timeout_s=2.0)])
-    assert find_violations(judged) == []
-    assert judged.bound_ratios["told_too_much"] == pytest.approx(0.01 / 0.2)
-    assert judged.bound_ratios["late"] == 0.0  # answered before its time
+    evidence_of_run = evidence(served_request(), attempts=[attempt(10.01, told_timeout_s=2.0)])
+    assert find_violations(evidence_of_run) == []
+    assert evidence_of_run.bound_ratios["told_too_much"] == pytest.approx(0.01 / 0.2)
+    assert evidence_of_run.bound_ratios["late"] == 0.0  # answered before its time
