--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -26,7 +26,13 @@
     pieces_of,
     read_pieces,
 )
-from tests.support.builders import KEYED, START, ended, request, settings
+from tests.support.builders import (
+    KEYED_CELL_CLASS,
+    START_MS,
+    attempt_ended,
+    request_arrived,
+    settings,
+)
 from tests.support.configuration import SETTINGS
 
 
@@ -109,16 +115,18 @@
 
 
 def test_deduplication_peers_are_used_for_retries_alone() -> None:
-    gateway = Gateway(settings(gateways=GATEWAYS, index=0, classes=(KEYED,)), 7)
+    gateway = Gateway(settings(gateways=GATEWAYS, index=0, classes=(KEYED_CELL_CLASS,)), 7)
     partition = Partition(GATEWAYS, 0, 64)
     inside = [n for n in range(1, 5000) if partition.holds(n)][:40]
     peers = [n for n in range(1, 5000) if not partition.holds(n)][:80]
     entries = [Endpoint(n, cell=position % 40) for position, n in enumerate([*inside, *peers])]
-    gateway.handle(START, EndpointListUpdate(UpdateKind.FULL, entries, partition_count=64))
+    gateway.handle(START_MS, EndpointListUpdate(UpdateKind.FULL, entries, partition_count=64))
     assert {ready.backend for ready in gateway.endpoints.subset.ready} == set(inside)
-    actions = gateway.handle(START, request(1))
+    actions = gateway.handle(START_MS, request_arrived(1))
     (send,) = [action for action in actions if isinstance(action, Send)]
-    actions = gateway.handle(START + 50, ended(1, send.backend, Outcome.RESET, elapsed_ms=50))
+    actions = gateway.handle(
+        START_MS + 50, attempt_ended(1, send.backend, Outcome.RESET, elapsed_ms=50)
+    )
     retries = [action for action in actions if isinstance(action, Send)]
     assert send.backend in inside
     assert retries[0].backend in peers
--- a/tests/policy/test_attempt_rules.py
+++ b/tests/policy/test_attempt_rules.py
@@ -10,15 +10,15 @@
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.pending_request import PendingRequest
 from tests.support.builders import (
-    KEYED,
-    KEYED_ALL,
-    SAFE,
-    START,
-    UNSAFE,
+    IDEMPOTENT_CLASS,
+    KEYED_ALL_CLASS,
+    KEYED_CELL_CLASS,
+    NOT_IDEMPOTENT_CLASS,
+    START_MS,
     gateway,
-    request,
+    only_action,
+    request_arrived,
     settings,
-    the_only,
 )
 
 SETTINGS = settings(hedging=True)
@@ -27,7 +27,7 @@
 def sent_request(request_class: RequestClass) -> tuple[Gateway, PendingRequest]:
     """Return a gateway, and a request of which one attempt is in flight."""
     subject = gateway(classes=(request_class,), hedging=True)
-    the_only(Send, subject.handle(START, request(1, time_left_ms=6000.0)))
+    only_action(Send, subject.handle(START_MS, request_arrived(1, time_left_ms=6000.0)))
     (pending,) = subject.pending.values()
     return subject, pending
 
@@ -42,33 +42,33 @@
             if backend.endpoint is not first and (backend.endpoint.cell == first.cell) is same_cell
         )
     )
-    pending.in_flight[1] = InFlightAttempt(START, 1.0, 1.0, 0, START + 100)
+    pending.in_flight[1] = InFlightAttempt(START_MS, 1.0, 1.0, 0, START_MS + 100)
     return 1
 
 
 @pytest.mark.parametrize(
     ("request_class", "obstacle"),
     [
-        (SAFE, None),
-        (KEYED, None),
-        (KEYED_ALL, None),
-        (UNSAFE, Obstacle.NOT_REPEATABLE),
+        (IDEMPOTENT_CLASS, None),
+        (KEYED_CELL_CLASS, None),
+        (KEYED_ALL_CLASS, None),
+        (NOT_IDEMPOTENT_CLASS, Obstacle.NOT_REPEATABLE),
     ],
 )
 def test_a_request_that_may_have_run_is_repeated_as_its_class_permits(
     request_class: RequestClass, obstacle: Obstacle | None
 ) -> None:
     _, pending = sent_request(request_class)
-    assert repeat_obstacle(START + 1, pending, SETTINGS) is None
-    pending.record_possible_execution(0, START)
-    assert repeat_obstacle(START + 1, pending, SETTINGS) is obstacle
+    assert repeat_obstacle(START_MS + 1, pending, SETTINGS) is None
+    pending.record_possible_execution(0, START_MS)
+    assert repeat_obstacle(START_MS + 1, pending, SETTINGS) is obstacle
 
 
 def test_a_keyed_request_is_repeated_only_where_it_arrives_within_the_window() -> None:
-    _, pending = sent_request(KEYED)
-    pending.record_possible_execution(0, START)
+    _, pending = sent_request(KEYED_CELL_CLASS)
+    pending.record_possible_execution(0, START_MS)
     reach_ms = SETTINGS.connect_timeout_ms + REACH_MS
-    last = START + KEYED.deduplication_window_ms - reach_ms
+    last = START_MS + KEYED_CELL_CLASS.deduplication_window_ms - reach_ms
     assert repeat_obstacle(last - 1, pending, SETTINGS) is None
     assert repeat_obstacle(last, pending, SETTINGS) is Obstacle.WINDOW_OVER
 
@@ -76,51 +76,51 @@
 @pytest.mark.parametrize(
     ("request_class", "same_cell", "obstacle"),
     [
-        (SAFE, False, None),
-        (KEYED, True, None),
-        (KEYED, False, Obstacle.OUT_OF_SCOPE),
-        (KEYED_ALL, False, None),
-        (UNSAFE, True, Obstacle.SECOND_COPY),
+        (IDEMPOTENT_CLASS, False, None),
+        (KEYED_CELL_CLASS, True, None),
+        (KEYED_CELL_CLASS, False, Obstacle.OUT_OF_SCOPE),
+        (KEYED_ALL_CLASS, False, None),
+        (NOT_IDEMPOTENT_CLASS, True, Obstacle.SECOND_COPY),
     ],
 )
 def test_a_second_copy_is_written_as_its_class_permits(
     request_class: RequestClass, same_cell: bool, obstacle: Obstacle | None
 ) -> None:
     subject, pending = sent_request(request_class)
-    pending.record_possible_execution(0, START)
+    pending.record_possible_execution(0, START_MS)
     number = add_attempt(subject, pending, same_cell)
-    assert write_obstacle(START + 1, pending, number, True, SETTINGS) is obstacle
+    assert write_obstacle(START_MS + 1, pending, number, True, SETTINGS) is obstacle
 
 
 def test_no_second_copy_is_written_without_hedging() -> None:
-    subject, pending = sent_request(SAFE)
+    subject, pending = sent_request(IDEMPOTENT_CLASS)
     number = add_attempt(subject, pending, True)
     unhedged = settings(hedging=False)
-    assert write_obstacle(START + 1, pending, number, True, unhedged) is Obstacle.SECOND_COPY
+    assert write_obstacle(START_MS + 1, pending, number, True, unhedged) is Obstacle.SECOND_COPY
 
 
 def test_an_unsafe_request_that_may_have_run_is_not_written_again() -> None:
-    subject, pending = sent_request(UNSAFE)
-    pending.record_possible_execution(0, START)
+    subject, pending = sent_request(NOT_IDEMPOTENT_CLASS)
+    pending.record_possible_execution(0, START_MS)
     number = add_attempt(subject, pending, True)
     del pending.in_flight[0]
-    found = write_obstacle(START + 1, pending, number, True, SETTINGS)
+    found = write_obstacle(START_MS + 1, pending, number, True, SETTINGS)
     assert found is Obstacle.NOT_REPEATABLE
 
 
 def test_nothing_is_written_past_the_deadline_or_the_window_or_to_a_backend_that_left() -> None:
-    subject, pending = sent_request(KEYED)
-    assert write_obstacle(START + 1, pending, 0, True, SETTINGS) is None
-    assert write_obstacle(START + 1, pending, 0, False, SETTINGS) is Obstacle.BACKEND_NOT_READY
+    subject, pending = sent_request(KEYED_CELL_CLASS)
+    assert write_obstacle(START_MS + 1, pending, 0, True, SETTINGS) is None
+    assert write_obstacle(START_MS + 1, pending, 0, False, SETTINGS) is Obstacle.BACKEND_NOT_READY
     assert write_obstacle(pending.deadline, pending, 0, True, SETTINGS) is Obstacle.DEADLINE
-    pending.record_possible_execution(0, START)
+    pending.record_possible_execution(0, START_MS)
     number = add_attempt(subject, pending, True)
-    late = START + KEYED.deduplication_window_ms - REACH_MS
+    late = START_MS + KEYED_CELL_CLASS.deduplication_window_ms - REACH_MS
     assert write_obstacle(late, pending, number, True, SETTINGS) is Obstacle.WINDOW_OVER
 
 
 def test_a_concluded_request_is_not_written() -> None:
-    subject, _pending = sent_request(SAFE)
-    assert subject.write_obstacle(START + 1, 1, 0) is None
+    subject, _pending = sent_request(IDEMPOTENT_CLASS)
+    assert subject.write_obstacle(START_MS + 1, 1, 0) is None
     subject.pending.clear()
-    assert subject.write_obstacle(START + 1, 1, 0) is Obstacle.CONCLUDED
+    assert subject.write_obstacle(START_MS + 1, 1, 0) is Obstacle.CONCLUDED
--- a/tests/policy/test_fleet_scale.py
+++ b/tests/policy/test_fleet_scale.py
@@ -11,14 +11,23 @@
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.load_balancing import LoadBalancer
 from sumacpost.policy.pending_request import PendingRequest
-from tests.support.builders import SAFE, START, UNSAFE, ended, fleet, gateway, of_type, request
+from tests.support.builders import (
+    IDEMPOTENT_CLASS,
+    NOT_IDEMPOTENT_CLASS,
+    START_MS,
+    actions_of_type,
+    attempt_ended,
+    endpoint_list_update,
+    gateway,
+    request_arrived,
+)
 
 
 def test_each_backend_is_a_candidate_of_about_as_many_gateways() -> None:
     candidacies = dict.fromkeys(range(1, 71), 0)
     for index in range(300):
         g = gateway(*candidacies, gateways=300, index=index)
-        g.handle(START, request(1))
+        g.handle(START_MS, request_arrived(1))
         for backend in g.load_balancer.candidates(g.pending[1]):
             candidacies[backend.endpoint.backend] += 1
     assert min(candidacies.values()) >= 5
@@ -32,10 +41,10 @@
         g = gateway(*gateways_of, gateways=40, index=index)
         used = set()
         for number in range(80):  # ten seconds of one gateway's share
-            now = START + number * 125
-            for send in of_type(g.handle(now, request(number)), Send):
+            now = START_MS + number * 125
+            for send in actions_of_type(g.handle(now, request_arrived(number)), Send):
                 used.add(send.backend)
-                g.handle(now + 100, ended(number, send.backend))
+                g.handle(now + 100, attempt_ended(number, send.backend))
         assert len(used) <= 6
         for backend in used:
             gateways_of[backend] += 1
@@ -61,11 +70,11 @@
     monkeypatch.setattr(LoadBalancer, "forecast", counted)
     for backends in (10, 1000):
         g = Gateway(gateway(gateways=2).settings, 1)
-        g.handle(START, fleet(*range(1, backends + 1)))
+        g.handle(START_MS, endpoint_list_update(*range(1, backends + 1)))
         for number in range(100):
-            now = START + number * 10
-            for send in of_type(g.handle(now, request(number)), Send):
-                g.handle(now, ended(number, send.backend))
+            now = START_MS + number * 10
+            for send in actions_of_type(g.handle(now, request_arrived(number)), Send):
+                g.handle(now, attempt_ended(number, send.backend))
     assert forecasts[10] / 100 <= 10
     assert forecasts[1000] / 100 <= 16
 
@@ -73,17 +82,19 @@
 def test_backend_that_fails_one_class_loses_that_class_only() -> None:
     """On hobart-tariffs-later good responses of one class covered for failures of another."""
     failing, other = 1, 0  # classes
-    g = gateway(*range(1, 6), classes=(SAFE, UNSAFE), plans=(Plan(0, 0),))
+    g = gateway(*range(1, 6), classes=(IDEMPOTENT_CLASS, NOT_IDEMPOTENT_CLASS), plans=(Plan(0, 0),))
     to_faulty = Counter[int]()
     for number in range(1200):
-        now = START + number * 50
+        now = START_MS + number * 50
         cls = number % 2
-        for send in of_type(g.handle(now, request(number, cls)), Send):
+        for send in actions_of_type(g.handle(now, request_arrived(number, cls)), Send):
             faulty = send.backend == 1
             if faulty and number > 100:
                 to_faulty[cls] += 1
             outcome = Outcome.ERROR if faulty and cls == failing else Outcome.OK
-            g.handle(now, ended(number, send.backend, outcome, elapsed_ms=150.0 + 150.0 * cls))
+            g.handle(
+                now, attempt_ended(number, send.backend, outcome, elapsed_ms=150.0 + 150.0 * cls)
+            )
     assert to_faulty[failing] < 40  # of 550, a fifth of which would be 110
     assert to_faulty[other] > 60
 
@@ -91,7 +102,7 @@
 def test_backends_that_left_are_forgotten() -> None:
     g = gateway(1)
     for backend in range(2, 500):
-        g.handle(START, fleet(backend, kind=UpdateKind.FULL))
+        g.handle(START_MS, endpoint_list_update(backend, kind=UpdateKind.FULL))
     assert list(g.endpoints.backends) == [499]
     assert sum(len(group) for group in g.endpoints.groups.values()) == 2
     assert len(g.endpoints.subset.ready) == 1
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -19,17 +19,20 @@
 )
 from sumacpost.policy.gateway import Gateway
 from tests.support.builders import (
-    KEYED_ALL,
-    SAFE,
-    START,
-    UNSAFE,
-    ended,
+    IDEMPOTENT_CLASS,
+    KEYED_ALL_CLASS,
+    NOT_IDEMPOTENT_CLASS,
+    START_MS,
+    actions_of_type,
+    attempt_ended,
     gateway,
-    of_type,
-    request,
+    request_arrived,
 )
 
-HEDGING: dict[str, Any] = {"hedging": True, "classes": (SAFE, KEYED_ALL, UNSAFE)}
+HEDGING: dict[str, Any] = {
+    "hedging": True,
+    "classes": (IDEMPOTENT_CLASS, KEYED_ALL_CLASS, NOT_IDEMPOTENT_CLASS),
+}
 IDEMPOTENT, WITH_KEY, NOT_IDEMPOTENT = range(3)
 
 hedged_classes = pytest.mark.parametrize("cls", [IDEMPOTENT, WITH_KEY])
@@ -43,8 +46,8 @@
     now: float
 
 
-def start(g: Gateway, number: int, cls: int, now: float = START) -> Overdue:
-    first, timer = g.handle(now, request(number, cls))
+def start(g: Gateway, number: int, cls: int, now: float = START_MS) -> Overdue:
+    first, timer = g.handle(now, request_arrived(number, cls))
     assert isinstance(first, Send)
     assert isinstance(timer, SetTimer)
     return Overdue(first, timer, now + timer.after_ms)
@@ -64,20 +67,22 @@
     second = hedge(g, overdue)
     assert second.backend != overdue.first.backend
     later = overdue.now + 50
-    assert g.handle(later, ended(1, second.backend, attempt=1, elapsed_ms=50)) == [Cancel(1, 0)]
-    assert g.handle(later, ended(1, overdue.first.backend, Outcome.CANCELLED)) == []
+    assert g.handle(later, attempt_ended(1, second.backend, attempt=1, elapsed_ms=50)) == [
+        Cancel(1, 0)
+    ]
+    assert g.handle(later, attempt_ended(1, overdue.first.backend, Outcome.CANCELLED)) == []
 
 
 def test_answered_request_is_not_hedged() -> None:
     g = gateway(**HEDGING)
     overdue = start(g, 1, IDEMPOTENT)
-    g.handle(START + 50, ended(1, overdue.first.backend))
+    g.handle(START_MS + 50, attempt_ended(1, overdue.first.backend))
     assert g.handle(overdue.now, TimerFired(overdue.timer.label)) == []
 
 
 def test_request_that_is_not_idempotent_gets_no_timer() -> None:
     g = gateway(**HEDGING)
-    (action,) = g.handle(START, request(2, NOT_IDEMPOTENT))
+    (action,) = g.handle(START_MS, request_arrived(2, NOT_IDEMPOTENT))
     assert isinstance(action, Send)
 
 
@@ -88,10 +93,10 @@
     overdue = start(g, 1, cls)
     second = hedge(g, overdue)
     g.retries.retry_tokens = 0.0
-    reset = ended(1, second.backend, Outcome.RESET, attempt=1, elapsed_ms=10)
+    reset = attempt_ended(1, second.backend, Outcome.RESET, attempt=1, elapsed_ms=10)
     assert g.handle(overdue.now + 10, reset) == []
     later = overdue.now + 20
-    reset = ended(1, overdue.first.backend, Outcome.RESET, elapsed_ms=later - START)
+    reset = attempt_ended(1, overdue.first.backend, Outcome.RESET, elapsed_ms=later - START_MS)
     (rejection,) = g.handle(later, reset)
     assert isinstance(rejection, Reject)
 
@@ -105,15 +110,17 @@
     def handle(now: float, event: Event) -> int:
         """Hand over the event, keep the timers, and return how many attempts were started."""
         actions = g.handle(now, event)
-        timers.extend((now + timer.after_ms, timer.label) for timer in of_type(actions, SetTimer))
-        return len(of_type(actions, Send))
+        timers.extend(
+            (now + timer.after_ms, timer.label) for timer in actions_of_type(actions, SetTimer)
+        )
+        return len(actions_of_type(actions, Send))
 
     for number in range(1000):
-        now = START + number * 10
+        now = START_MS + number * 10
         for due in [timer for timer in timers if timer[0] <= now]:
             timers.remove(due)
             hedged += handle(now, TimerFired(due[1]))
-        first_attempts += handle(now, request(number))
+        first_attempts += handle(now, request_arrived(number))
     assert first_attempts > 0
     assert hedged <= 0.1 * 1000 + 10
 
@@ -122,14 +129,14 @@
     """Else a machine that has vanished would get a request, hedged elsewhere, again and again."""
     g = gateway(1, 2, **HEDGING)
     for number in range(4):
-        sent_at = START + number * 5000
+        sent_at = START_MS + number * 5000
         overdue = start(g, number, IDEMPOTENT, sent_at)
         second = hedge(g, overdue)
         later = overdue.now + 1
-        g.handle(later, ended(number, second.backend, attempt=1, elapsed_ms=1))
+        g.handle(later, attempt_ended(number, second.backend, attempt=1, elapsed_ms=1))
         inflation = g.endpoints.backends[overdue.first.backend].inflation_by_class[IDEMPOTENT]
         before = inflation.inflation(later)
-        cancelled = ended(
+        cancelled = attempt_ended(
             number, overdue.first.backend, Outcome.CANCELLED, elapsed_ms=later - sent_at
         )
         g.handle(later, cancelled)
@@ -146,12 +153,12 @@
     """Either order within one turn of the loop; the timer for hedging fires after both."""
     g = gateway(1, 2, 3, hedging=True)
     overdue = start(g, 1, IDEMPOTENT)
-    end = ended(1, overdue.first.backend, outcome, elapsed_ms=5.0)
+    end = attempt_ended(1, overdue.first.backend, outcome, elapsed_ms=5.0)
     if left_first:
-        assert not of_type(g.handle(START + 5, RequestCancelled(1)), Send)
-        assert not of_type(g.handle(START + 5, replace(end, concluded=True)), Send)
+        assert not actions_of_type(g.handle(START_MS + 5, RequestCancelled(1)), Send)
+        assert not actions_of_type(g.handle(START_MS + 5, replace(end, concluded=True)), Send)
     else:
-        g.handle(START + 5, replace(end, concluded=False))
-        assert not of_type(g.handle(START + 5, RequestCancelled(1)), Send)
+        g.handle(START_MS + 5, replace(end, concluded=False))
+        assert not actions_of_type(g.handle(START_MS + 5, RequestCancelled(1)), Send)
     assert g.handle(overdue.now, TimerFired(overdue.timer.label)) == []
     assert not g.pending
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -6,7 +6,14 @@
 from dataclasses import replace
 
 from sumacpost.model import Outcome, Plan, Send
-from tests.support.builders import START, ended, gateway, of_type, request, the_only
+from tests.support.builders import (
+    START_MS,
+    actions_of_type,
+    attempt_ended,
+    gateway,
+    only_action,
+    request_arrived,
+)
 
 NO_QUOTA = Plan(rate=0, burst=0)
 NOT_IDEMPOTENT = 3  # among the usual classes
@@ -15,10 +22,12 @@
 def test_one_reset_inflates_one_class_of_its_backend_a_little() -> None:
     """Malformed responses come from all backends alike, and must not leave the choice to chance."""
     g = gateway(1, 2, plans=(NO_QUOTA,))
-    send = the_only(Send, g.handle(START + 1, request(1, request_class=0)))
-    g.handle(START + 100, ended(1, send.backend, Outcome.RESET))
+    send = only_action(Send, g.handle(START_MS + 1, request_arrived(1, request_class=0)))
+    g.handle(START_MS + 100, attempt_ended(1, send.backend, Outcome.RESET))
     backend = g.endpoints.backends[send.backend]
-    first, *others = [inflation.inflation(START + 100) for inflation in backend.inflation_by_class]
+    first, *others = [
+        inflation.inflation(START_MS + 100) for inflation in backend.inflation_by_class
+    ]
     assert 1 < first <= 3
     assert others == [1.0] * len(others)
 
@@ -26,16 +35,19 @@
 def test_one_stuck_attempt_does_not_inflate_the_fleet() -> None:
     """Incident re163d6: one time-out, 25 times the usual, had a gateway reject all for seconds."""
     g = gateway(plans=(NO_QUOTA,))
-    send = the_only(Send, g.handle(START, request(1)))
-    g.handle(START + 4000, ended(1, send.backend, Outcome.TIMEOUT, elapsed_ms=4000.0))
-    assert g.estimate.inflation.inflation(START + 4000) < 2
+    send = only_action(Send, g.handle(START_MS, request_arrived(1)))
+    g.handle(START_MS + 4000, attempt_ended(1, send.backend, Outcome.TIMEOUT, elapsed_ms=4000.0))
+    assert g.estimate.inflation.inflation(START_MS + 4000) < 2
 
 
 def test_overloaded_fleet_gets_a_request_now_and_then() -> None:
     """With all rejected no response would show that the overload is over."""
     g = gateway(plans=(NO_QUOTA,))
-    g.estimate.inflation.observe(START, 50.0, 1.0)
-    sent = [bool(of_type(g.handle(START + 50 + n, request(n + 1)), Send)) for n in (0, 1, 60, 61)]
+    g.estimate.inflation.observe(START_MS, 50.0, 1.0)
+    sent = [
+        bool(actions_of_type(g.handle(START_MS + 50 + n, request_arrived(n + 1)), Send))
+        for n in (0, 1, 60, 61)
+    ]
     assert sent[:2] == [False, False]
     assert sent[2]
 
@@ -44,25 +56,29 @@
     """Evidence must not keep itself alive: all responses are errors, then nothing is in flight."""
     g = gateway()
     for number in range(200):
-        now = START + number
-        for send in of_type(g.handle(now, request(number)), Send):
-            error = ended(number, send.backend, Outcome.ERROR, elapsed_ms=5000)
+        now = START_MS + number
+        for send in actions_of_type(g.handle(now, request_arrived(number)), Send):
+            error = attempt_ended(number, send.backend, Outcome.ERROR, elapsed_ms=5000)
             g.handle(now, replace(error, concluded=True))
-    assert the_only(Send, g.handle(START + 300, request(999)))
+    assert only_action(Send, g.handle(START_MS + 300, request_arrived(999)))
 
 
 def test_silent_fleet_gets_a_bounded_number_of_requests() -> None:
     """Queues must not take the whole latency objective."""
     g = gateway()
-    sent = [send for n in range(2000) for send in of_type(g.handle(START + n, request(n)), Send)]
+    sent = [
+        send
+        for n in range(2000)
+        for send in actions_of_type(g.handle(START_MS + n, request_arrived(n)), Send)
+    ]
     assert 4 <= len(sent) < 200
 
 
 def test_overdue_attempt_counts_before_its_response() -> None:
     """Incident i208070: after a crash the rest was overloaded before late responses showed it."""
     g = gateway(1, 2)
-    send = the_only(Send, g.handle(START, request(1, request_class=NOT_IDEMPOTENT)))
-    later = START + 2000
+    send = only_action(Send, g.handle(START_MS, request_arrived(1, request_class=NOT_IDEMPOTENT)))
+    later = START_MS + 2000
     overdue = g.endpoints.backends[send.backend]
     idle = g.endpoints.backends[3 - send.backend]
     forecast = g.load_balancer.forecast
@@ -75,10 +91,10 @@
     g = gateway()
     sent = Counter[int]()
     for number in range(400):
-        now = START + number * 20
-        send = the_only(Send, g.handle(now, request(number)))
+        now = START_MS + number * 20
+        send = only_action(Send, g.handle(now, request_arrived(number)))
         sent[send.backend] += 1
-        g.handle(now + 10, ended(number, send.backend, elapsed_ms=150))
+        g.handle(now + 10, attempt_ended(number, send.backend, elapsed_ms=150))
     assert min(sent[backend] for backend in (1, 2, 3, 4)) > 60
 
 
@@ -86,13 +102,15 @@
     g = gateway()
     tried_at = []
     for number in range(2000):
-        now = START + number * 10
-        send = the_only(Send, g.handle(now, request(number, request_class=NOT_IDEMPOTENT)))
+        now = START_MS + number * 10
+        send = only_action(
+            Send, g.handle(now, request_arrived(number, request_class=NOT_IDEMPOTENT))
+        )
         if send.backend == 1:
             tried_at.append(now)
-            end = ended(number, send.backend, Outcome.ERROR, elapsed_ms=5)
+            end = attempt_ended(number, send.backend, Outcome.ERROR, elapsed_ms=5)
         else:
-            end = ended(number, send.backend, elapsed_ms=150)
+            end = attempt_ended(number, send.backend, elapsed_ms=150)
         g.handle(now + 5, end)
     assert len(tried_at) < 60
-    assert tried_at[-1] > START + 5_000  # ever more rarely while it goes on failing
+    assert tried_at[-1] > START_MS + 5_000  # ever more rarely while it goes on failing
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -8,16 +8,16 @@
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.quota import CustomerQuota
 from tests.support.builders import (
-    SAFE,
-    START,
-    bucket_of,
-    ended,
-    fleet,
+    IDEMPOTENT_CLASS,
+    START_MS,
+    actions_of_type,
+    attempt_ended,
+    endpoint_list_update,
     gateway,
-    of_type,
-    request,
+    gateway_with_customer,
+    only_action,
+    request_arrived,
     settings,
-    the_only,
 )
 
 PLAN = Plan(rate=8, burst=16)
@@ -26,7 +26,7 @@
 @pytest.fixture
 def customer() -> CustomerQuota:
     """A customer of one gateway in four."""
-    return CustomerQuota(PLAN, 4, START)
+    return CustomerQuota(PLAN, 4, START_MS)
 
 
 # ---- the bucket
@@ -36,9 +36,9 @@
     assert customer.quota_share == 0.25
     assert customer.tokens == 4.0
     customer.tokens = 0.0
-    customer.refill(START + 500)  # 8 / 4 units a second for half a second
+    customer.refill(START_MS + 500)  # 8 / 4 units a second for half a second
     assert customer.tokens == pytest.approx(1.0)
-    customer.refill(START + 60_000)
+    customer.refill(START_MS + 60_000)
     assert customer.tokens == pytest.approx(4.0)
 
 
@@ -49,23 +49,29 @@
     tokens: float, retry: bool, kind: type[Action]
 ) -> None:
     """The reserve is a tenth of 4 units."""
-    g, _ = bucket_of(tokens, PLAN, clients_mark_retries=True)
-    assert of_type(g.handle(START, request(1, gateway_spread=4, retry=retry)), kind)
+    g, _ = gateway_with_customer(tokens, PLAN, clients_mark_retries=True)
+    assert actions_of_type(
+        g.handle(START_MS, request_arrived(1, gateway_spread=4, retry=retry)), kind
+    )
 
 
 @pytest.mark.parametrize(("tokens", "kind"), [(4.0, Send), (3.9, Reject)])
 def test_full_bucket_admits_a_larger_request_without_a_counter(
     tokens: float, kind: type[Action]
 ) -> None:
-    g, _ = bucket_of(tokens, PLAN)
-    assert of_type(g.handle(START, request(1, gateway_spread=4, units=6.0)), kind)
+    g, _ = gateway_with_customer(tokens, PLAN)
+    assert actions_of_type(
+        g.handle(START_MS, request_arrived(1, gateway_spread=4, units=6.0)), kind
+    )
 
 
 def test_requests_beyond_the_bucket_are_rejected_at_once_with_a_return_time() -> None:
     g = gateway(*range(1, 30), plans=(PLAN,))
-    actions = [action for n in range(20) for action in g.handle(START, request(n, units=1.0))]
-    rejections = of_type(actions, Reject)
-    assert len(of_type(actions, Send)) == 8
+    actions = [
+        action for n in range(20) for action in g.handle(START_MS, request_arrived(n, units=1.0))
+    ]
+    rejections = actions_of_type(actions, Reject)
+    assert len(actions_of_type(actions, Send)) == 8
     assert len(rejections) == 12
     assert all(rejection.retry_after_ms > 0 for rejection in rejections)
 
@@ -73,19 +79,21 @@
 @pytest.mark.parametrize("allowed", [True, False])
 def test_rejection_gives_a_return_time_only_if_the_settings_allow_it(allowed: bool) -> None:
     g = gateway(plans=(Plan(rate=1, burst=1),), retry_after=allowed)
-    actions = [action for n in range(5) for action in g.handle(START, request(n, units=1.0))]
-    rejections = of_type(actions, Reject)
+    actions = [
+        action for n in range(5) for action in g.handle(START_MS, request_arrived(n, units=1.0))
+    ]
+    rejections = actions_of_type(actions, Reject)
     assert rejections
     assert all((rejection.retry_after_ms > 0) is allowed for rejection in rejections)
 
 
 def test_actual_units_are_settled_on_the_bucket() -> None:
     g = gateway(plans=(PLAN,), settled_after=True)
-    send = the_only(Send, g.handle(START, request(1, units=2.0)))
+    send = only_action(Send, g.handle(START_MS, request_arrived(1, units=2.0)))
     customer = g.customers.by_number[9]
     assert customer.tokens == pytest.approx(6.0)
     unreported = customer.unreported_units
-    g.handle(START, ended(1, send.backend, units=5.0))
+    g.handle(START_MS, attempt_ended(1, send.backend, units=5.0))
     assert customer.tokens == pytest.approx(3.0)
     assert customer.unreported_units == pytest.approx(unreported + 3.0)
 
@@ -100,19 +108,21 @@
 def test_requests_beyond_quota_are_sent_only_if_they_earn_more_than_they_cost(
     plan: Plan, sends: int
 ) -> None:
-    g = gateway(*range(1, 60), plans=(plan,), classes=(SAFE,))
-    actions = [action for n in range(20) for action in g.handle(START, request(n))]
-    assert len(of_type(actions, Send)) == pytest.approx(sends, abs=1)
+    g = gateway(*range(1, 60), plans=(plan,), classes=(IDEMPOTENT_CLASS,))
+    actions = [action for n in range(20) for action in g.handle(START_MS, request_arrived(n))]
+    assert len(actions_of_type(actions, Send)) == pytest.approx(sends, abs=1)
 
 
 def test_ceiling_of_a_new_customer_fills_from_the_start_of_the_gateway() -> None:
     plan = Plan(rate=10, burst=20, ceiling_rate=20, ceiling_burst=40, ceiling_slack=4)
     g = Gateway(settings(plans=(plan,)), 1)
-    g.handle(START, fleet(1, 2, 3))
+    g.handle(START_MS, endpoint_list_update(1, 2, 3))
     # Before its start the gateway may have forwarded anything.
-    (action,) = g.handle(START, request(1, customer=1, units=2.0))
+    (action,) = g.handle(START_MS, request_arrived(1, customer=1, units=2.0))
     assert isinstance(action, Reject)
-    assert of_type(g.handle(START + 10_000, request(2, customer=2, units=2.0)), Send)
+    assert actions_of_type(
+        g.handle(START_MS + 10_000, request_arrived(2, customer=2, units=2.0)), Send
+    )
     assert g.customers.by_number[2].ceiling_tokens == 20 - 2  # its even part of the ceiling
 
 
@@ -125,13 +135,13 @@
     shares = []
     for second in range(1, 6):
         customer.exhausted = True
-        customer.adjust_share(START + second * 1000, False)
+        customer.adjust_share(START_MS + second * 1000, False)
         customer.exhausted = True
-        customer.adjust_share(START + second * 1000 + 500, False)  # within the second: unchanged
+        customer.adjust_share(START_MS + second * 1000 + 500, False)  # within the second: unchanged
         shares.append(customer.quota_share)
     assert shares == [0.375, 0.5625, 0.84375, 1.0, 1.0]
     customer.exhausted = False
-    customer.adjust_share(START + 9000, False)
+    customer.adjust_share(START_MS + 9000, False)
     assert customer.quota_share == 1.0
 
 
@@ -139,18 +149,18 @@
     customer: CustomerQuota,
 ) -> None:
     customer.quota_share = 1.0
-    customer.adjust_share(START + 1000, True)
+    customer.adjust_share(START_MS + 1000, True)
     assert customer.quota_share == pytest.approx(0.625)  # half of 0.75 above the even 0.25
     for second in range(60):
         customer.exhausted = True
-        customer.adjust_share(START + 2000 + second * 1000, True)
+        customer.adjust_share(START_MS + 2000 + second * 1000, True)
     assert customer.quota_share == pytest.approx(0.25)
 
 
 def test_share_does_not_grow_while_the_shared_balance_is_low(customer: CustomerQuota) -> None:
     customer.exhausted = True
     customer.shared_balance = 7.0  # of 16
-    customer.adjust_share(START + 1000, False)
+    customer.adjust_share(START_MS + 1000, False)
     assert customer.quota_share == 0.25
 
 
@@ -158,12 +168,12 @@
     g = gateway(*range(1, 9), plans=(PLAN,), counter=True, meter_ms=1000)
     readings = [(50.0, 0.5), (50.0, 0.75), (120.0, 0.625), (100.0, 0.5625)]
     for number, (used_percent, share) in enumerate(readings):
-        now = START + 1100 * number
-        (send,) = g.handle(now, request(number, units=0.5))  # no timer, no counter call
+        now = START_MS + 1100 * number
+        (send,) = g.handle(now, request_arrived(number, units=0.5))  # no timer, no counter call
         assert isinstance(send, Send)
         customer = g.customers.by_number[9]
         customer.exhausted = True
-        event = ended(number, send.backend, elapsed_ms=50)
+        event = attempt_ended(number, send.backend, elapsed_ms=50)
         event.quota_used_percent = used_percent
         g.handle(now + 50, event)
         assert customer.quota_share == pytest.approx(share)
@@ -175,15 +185,15 @@
 def test_one_counter_reply_is_enough_to_know_the_shared_balance(customer: CustomerQuota) -> None:
     """Two readings a minute apart, or by a restarted gateway, could not be compared."""
     # 16 - 100 + 8 x 12 = 12, less 2
-    assert customer.apply_counter_total(START, 100.0, 2.0, 12_000.0) == 0.0
+    assert customer.apply_counter_total(START_MS, 100.0, 2.0, 12_000.0) == 0.0
     assert customer.shared_balance == pytest.approx(10.0)
 
 
 def test_bucket_follows_the_shared_balance_down_and_its_share_of_it_up() -> None:
-    customer = CustomerQuota(PLAN, 2, START)
-    customer.apply_counter_total(START, 14.0, 0.0, 0.0)
+    customer = CustomerQuota(PLAN, 2, START_MS)
+    customer.apply_counter_total(START_MS, 14.0, 0.0, 0.0)
     assert customer.tokens == pytest.approx(2.0)
-    customer.apply_counter_total(START, 1.0, 0.0, 0.0)  # 15 of 16: ample
+    customer.apply_counter_total(START_MS, 1.0, 0.0, 0.0)  # 15 of 16: ample
     assert customer.tokens == pytest.approx(7.5)
 
 
@@ -191,15 +201,15 @@
     customer: CustomerQuota,
 ) -> None:
     # 16 - 4 + 16 is 12 above the burst
-    assert customer.apply_counter_total(START, 4.0, 1.0, 2000.0) == pytest.approx(12.0)
+    assert customer.apply_counter_total(START_MS, 4.0, 1.0, 2000.0) == pytest.approx(12.0)
     assert customer.shared_balance == pytest.approx(15.0)
 
 
 def test_fresh_counter_name_takes_over_what_was_used(customer: CustomerQuota) -> None:
     """Each minute's new name, or a lost counter, would else give heavy customers a new burst."""
     customer.shared_balance = 0.0
-    customer.balance_observed_at = START
-    surplus = customer.apply_counter_total(START + 500, 0.0, 0.0, 100.0)
+    customer.balance_observed_at = START_MS
+    surplus = customer.apply_counter_total(START_MS + 500, 0.0, 0.0, 100.0)
     assert surplus == pytest.approx(16 + 0.8 - 4)
     assert customer.shared_balance == pytest.approx(4.0)
 
@@ -210,11 +220,11 @@
 def test_customers_that_came_once_are_soon_forgotten_and_empty_groups_go() -> None:
     g = Gateway(settings(plans=(Plan(rate=2, burst=8),)), 1)
     for n in range(1, 100):
-        g.handle(START, fleet(n))
+        g.handle(START_MS, endpoint_list_update(n))
     assert len(g.endpoints.groups) == 2
     assert len(g.endpoints.subset.ready) == 1
     for n in range(3000):
-        g.handle(START + n * 100, request(n, customer=n))
+        g.handle(START_MS + n * 100, request_arrived(n, customer=n))
     assert len(g.customers.by_number) <= 210
 
 
@@ -222,14 +232,14 @@
     """A gateway in service for weeks must not keep all that it ever saw."""
     g = gateway(*range(1, 9), plans=(PLAN,), counter=True, counter_timeout_ms=30.0, gateways=200)
     for n in range(3000):
-        now = START + n * 100
-        todo = g.handle(now, request(n, customer=n, gateway_spread=200))
+        now = START_MS + n * 100
+        todo = g.handle(now, request_arrived(n, customer=n, gateway_spread=200))
         while todo:
             match todo.pop():
                 case AddToCounter(name, amount):
                     todo += g.handle(now, CounterReplied(name, Outcome.OK, 3, amount))
                 case Send(number, backend):
-                    todo += g.handle(now, ended(number, backend))
+                    todo += g.handle(now, attempt_ended(number, backend))
     assert len(g.customers.by_number) <= 601
     assert not g.pending
     assert not g.quota_sync.unanswered
--- a/tests/policy/test_quota_sync.py
+++ b/tests/policy/test_quota_sync.py
@@ -22,7 +22,14 @@
 from sumacpost.policy.backend import InFlightAttempt
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.quota import CustomerQuota
-from tests.support.builders import START, ended, gateway, of_type, request, the_only
+from tests.support.builders import (
+    START_MS,
+    actions_of_type,
+    attempt_ended,
+    gateway,
+    only_action,
+    request_arrived,
+)
 
 PLAN = Plan(rate=8, burst=16)
 BACKENDS = range(1, 30)
@@ -37,9 +44,9 @@
 COUNTED: dict[str, Any] = {"counter": True, "counter_timeout_ms": 50.0, "plans": (Plan(1, 10),)}
 
 
-def ask(g: Gateway, number: int, now: float = START, **changes: Any) -> AddToCounter:
+def ask(g: Gateway, number: int, now: float = START_MS, **changes: Any) -> AddToCounter:
     """Let a request arrive that the thin share can't decide; return the call that asks for it."""
-    (call,) = g.handle(now, request(number, gateway_spread=200, **changes))
+    (call,) = g.handle(now, request_arrived(number, gateway_spread=200, **changes))
     assert isinstance(call, AddToCounter)
     return call
 
@@ -54,12 +61,12 @@
     call: AddToCounter,
     total: float,
     outcome: Outcome = Outcome.OK,
-    now: float = START + 3,
+    now: float = START_MS + 3,
 ) -> list[Action]:
     return g.handle(now, CounterReplied(call.name, outcome, 3.0, total))
 
 
-def total_of_an_empty_balance(g: Gateway, call: AddToCounter, now: float = START + 3) -> float:
+def total_of_an_empty_balance(g: Gateway, call: AddToCounter, now: float = START_MS + 3) -> float:
     customer = g.customers.by_number[call.name & (2**33 - 1)]
     return PLAN.burst + g.quota_sync.name(now, customer).age_ms / 1000 * PLAN.rate
 
@@ -68,7 +75,7 @@
     """Let work from here stand at every backend, far past what any class may wait for."""
     for backend in g.endpoints.backends.values():
         backend.outstanding_work = 1e6
-        backend.in_flight[0, 0] = InFlightAttempt(START, 100.0, 1.0, 0, START + 1e6)
+        backend.in_flight[0, 0] = InFlightAttempt(START_MS, 100.0, 1.0, 0, START_MS + 1e6)
 
 
 def waiting_requests(g: Gateway) -> list[object]:
@@ -82,23 +89,25 @@
 def test_request_is_admitted_if_the_shared_balance_covers_it() -> None:
     g, call = gateway_with_a_waiting_request()
     before = total_of_an_empty_balance(g, call) - 6.0
-    assert of_type(reply(g, call, before + call.amount), Send)
+    assert actions_of_type(reply(g, call, before + call.amount), Send)
 
 
 def test_request_beyond_the_shared_balance_is_rejected_and_its_units_are_returned() -> None:
     g, call = gateway_with_a_waiting_request()
     actions = reply(g, call, total_of_an_empty_balance(g, call) - 1.0 + call.amount)
-    rejection = the_only(Reject, actions)
+    rejection = only_action(Reject, actions)
     assert rejection.retry_after_ms > 0
-    returned = sum(added.amount for added in of_type(actions, AddToCounter))
+    returned = sum(added.amount for added in actions_of_type(actions, AddToCounter))
     assert returned == pytest.approx(-call.amount, abs=REPORT_BATCH)
 
 
 def test_requests_after_an_empty_balance_are_rejected_at_once() -> None:
     g, call = gateway_with_a_waiting_request()
     reply(g, call, total_of_an_empty_balance(g, call) + call.amount)
-    first_actions = [g.handle(START + 4, request(n, gateway_spread=200))[0] for n in range(2, 22)]
-    assert len(of_type(first_actions, Reject)) == 20
+    first_actions = [
+        g.handle(START_MS + 4, request_arrived(n, gateway_spread=200))[0] for n in range(2, 22)
+    ]
+    assert len(actions_of_type(first_actions, Reject)) == 20
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.REJECTED])
@@ -107,17 +116,17 @@
     g, call = gateway_with_a_waiting_request()
     g.quota_sync.counter_call_rate = 0.0  # no further calls: what is unreported stays to be seen
     unreported = g.customers.by_number[9].unreported_units
-    assert of_type(reply(g, call, 0.0, outcome), Send)
+    assert actions_of_type(reply(g, call, 0.0, outcome), Send)
     not_added = 0.0 if outcome is Outcome.TIMEOUT else call.amount
     assert g.customers.by_number[9].unreported_units == pytest.approx(unreported + not_added)
 
 
 def test_request_cancelled_while_it_waits_uses_nothing() -> None:
     g, call = gateway_with_a_waiting_request()
-    g.handle(START + 1, RequestCancelled(1))
+    g.handle(START_MS + 1, RequestCancelled(1))
     actions = reply(g, call, total_of_an_empty_balance(g, call) - 10.0 + call.amount)
-    assert not of_type(actions, Send)
-    returned = sum(added.amount for added in of_type(actions, AddToCounter))
+    assert not actions_of_type(actions, Send)
+    returned = sum(added.amount for added in actions_of_type(actions, AddToCounter))
     assert returned == pytest.approx(-call.amount, abs=REPORT_BATCH)
 
 
@@ -125,7 +134,7 @@
     """At 40 gateways a request granted, rejected and returned cost two calls for nothing."""
     g = gateway(*BACKENDS, **THIN_SHARE)
     overload(g)
-    (rejection,) = g.handle(START, request(1, gateway_spread=200))
+    (rejection,) = g.handle(START_MS, request_arrived(1, gateway_spread=200))
     assert isinstance(rejection, Reject)
     assert rejection.retry_after_ms > 0
     assert not g.quota_sync.unanswered
@@ -135,21 +144,25 @@
     g, call = gateway_with_a_waiting_request()
     overload(g)
     actions = reply(g, call, 4.0)
-    assert of_type(actions, Send)
-    assert not of_type(actions, Reject)
+    assert actions_of_type(actions, Send)
+    assert not actions_of_type(actions, Reject)
 
 
 def test_request_that_could_not_wait_for_the_reply_is_decided_at_once() -> None:
     """Found on kolkata-fleet-later big-1: with 20 ms left a client waited for a late reply."""
     g = gateway(**THIN_SHARE)
-    (decision,) = g.handle(START, request(1, gateway_spread=200, units=4.0, time_left_ms=20.0))
+    (decision,) = g.handle(
+        START_MS, request_arrived(1, gateway_spread=200, units=4.0, time_left_ms=20.0)
+    )
     assert isinstance(decision, Send | Reject)
 
 
 @pytest.mark.parametrize("deadline_first", [True, False])
 def test_counter_reply_and_deadline_in_one_turn_give_one_response(deadline_first: bool) -> None:
     g = gateway(counter=True, counter_timeout_ms=900.0, plans=(Plan(rate=1, burst=3),), gateways=4)
-    (call,) = g.handle(START, request(1, units=1.0, gateway_spread=4, time_left_ms=1000.0))
+    (call,) = g.handle(
+        START_MS, request_arrived(1, units=1.0, gateway_spread=4, time_left_ms=1000.0)
+    )
     assert isinstance(call, AddToCounter)
     events: list[Event] = [
         RequestCancelled(1),
@@ -157,7 +170,7 @@
     ]
     if not deadline_first:
         events.reverse()
-    actions = [action for event in events for action in g.handle(START + 1000, event)]
+    actions = [action for event in events for action in g.handle(START_MS + 1000, event)]
     responses = [action for action in actions if isinstance(action, Send | Reject | Fail)]
     assert len(responses) == (not deadline_first)
     assert not g.pending
@@ -178,10 +191,12 @@
     number = 0
     while not calls:
         number += 1
-        calls = of_type(g.handle(START, request(number, units=1.0)), AddToCounter)
+        calls = actions_of_type(
+            g.handle(START_MS, request_arrived(number, units=1.0)), AddToCounter
+        )
     (customer,) = g.customers.by_number.values()
     before = customer.unreported_units
-    g.handle(START + 50, CounterReplied(calls[0].name, outcome, 50.0, 0.0))
+    g.handle(START_MS + 50, CounterReplied(calls[0].name, outcome, 50.0, 0.0))
     assert (customer.unreported_units > before) is again
 
 
@@ -190,11 +205,11 @@
     g.quota_sync.counter_call_rate = 1.0
     names = []
     for number in range(40):
-        actions = g.handle(START, request(number, customer=number, units=4.0))
-        names += [call.name for call in of_type(actions, AddToCounter)]
+        actions = g.handle(START_MS, request_arrived(number, customer=number, units=4.0))
+        names += [call.name for call in actions_of_type(actions, AddToCounter)]
     assert len(names) > 2
     for name in names:
-        g.handle(START + 50, CounterReplied(name, Outcome.RESET, 50.0, 0.0))
+        g.handle(START_MS + 50, CounterReplied(name, Outcome.RESET, 50.0, 0.0))
     assert g.quota_sync.counter_call_rate == pytest.approx(0.7)
 
 
@@ -205,8 +220,8 @@
     for index in range(200):
         g = gateway(seed=index, **{**THIN_SHARE, "index": index})
         used += 0.5
-        actions = g.handle(START, request(1, gateway_spread=200, units=0.5))
-        reported += sum(call.amount for call in of_type(actions, AddToCounter))
+        actions = g.handle(START_MS, request_arrived(1, gateway_spread=200, units=0.5))
+        reported += sum(call.amount for call in actions_of_type(actions, AddToCounter))
     assert reported == pytest.approx(used, rel=0.2)
 
 
@@ -217,12 +232,14 @@
     """Calls that returned the units of rejected requests had a quarter of all calls rejected."""
     g = gateway(plans=(PLAN,), gateways=4, counter=True, counter_timeout_ms=50.0)
     g.quota_sync.counter_call_rate = counter_call_rate
-    call = the_only(AddToCounter, g.handle(START, request(1, gateway_spread=4, units=8.0)))
-    age_ms = g.quota_sync.name(START, g.customers.by_number[9]).age_ms
+    call = only_action(
+        AddToCounter, g.handle(START_MS, request_arrived(1, gateway_spread=4, units=8.0))
+    )
+    age_ms = g.quota_sync.name(START_MS, g.customers.by_number[9]).age_ms
     used_up = PLAN.burst + age_ms / 1000 * PLAN.rate + call.amount + 2.0
-    actions = g.handle(START + 10, CounterReplied(call.name, Outcome.OK, 10.0, used_up))
-    assert of_type(actions, Reject)
-    returns = of_type(actions, AddToCounter)
+    actions = g.handle(START_MS + 10, CounterReplied(call.name, Outcome.OK, 10.0, used_up))
+    assert actions_of_type(actions, Reject)
+    returns = actions_of_type(actions, AddToCounter)
     assert len(returns) == calls
     assert all(returned.amount < 0 for returned in returns)
     # What is not returned is kept for what is used here next.
@@ -235,12 +252,12 @@
 
 def test_replies_for_the_last_name_and_for_no_call_do_no_harm() -> None:
     g = gateway(*BACKENDS, **THIN_SHARE)
-    age_ms = g.quota_sync.name(START, CustomerQuota(PLAN, 200, START, 9)).age_ms
-    name_change = START + 60_000 - age_ms
+    age_ms = g.quota_sync.name(START_MS, CustomerQuota(PLAN, 200, START_MS, 9)).age_ms
+    name_change = START_MS + 60_000 - age_ms
     call = ask(g, 2, name_change - 1, units=4.0)
     assert reply(g, AddToCounter(77, 0.0, 0.0), 5.0) == []
     # The total says nothing of the current name.
-    assert of_type(reply(g, call, 1e6, now=name_change + 2), Send)
+    assert actions_of_type(reply(g, call, 1e6, now=name_change + 2), Send)
     assert reply(g, call, 5.0) == []
 
 
@@ -254,8 +271,10 @@
         g, call = waiting.pop(0)
         total += call.amount
         calls += 1
-        waiting += [(g, further) for further in of_type(reply(g, call, total), AddToCounter)]
-    age_ms = gateways[0].quota_sync.name(START + 3, gateways[0].customers.by_number[9]).age_ms
+        waiting += [
+            (g, further) for further in actions_of_type(reply(g, call, total), AddToCounter)
+        ]
+    age_ms = gateways[0].quota_sync.name(START_MS + 3, gateways[0].customers.by_number[9]).age_ms
     balance = PLAN.burst - total + age_ms / 1000 * PLAN.rate
     assert PLAN.burst - 21 <= balance <= PLAN.burst + 1e-6
     assert calls <= 16
@@ -269,14 +288,16 @@
         latency_ms = 30 if outcome is Outcome.TIMEOUT else 3
         calls = 0
         for number in numbers:
-            actions = g.handle(START, request(number, 0, number, gateway_spread=200, **changes))
-            for call in of_type(actions, AddToCounter):
+            actions = g.handle(
+                START_MS, request_arrived(number, 0, number, gateway_spread=200, **changes)
+            )
+            for call in actions_of_type(actions, AddToCounter):
                 actions += g.handle(
-                    START, CounterReplied(call.name, outcome, latency_ms, call.amount)
+                    START_MS, CounterReplied(call.name, outcome, latency_ms, call.amount)
                 )
                 calls += 1
-            for send in of_type(actions, Send):
-                g.handle(START, ended(number, send.backend))
+            for send in actions_of_type(actions, Send):
+                g.handle(START_MS, attempt_ended(number, send.backend))
         return calls
 
     assert count_calls(range(200), Outcome.TIMEOUT, units=4.0) < 40  # the first ones time out
@@ -288,6 +309,6 @@
 def test_quota_sync_sets_no_timer() -> None:
     g = gateway(*BACKENDS, **THIN_SHARE)
     for n in range(50):
-        assert not of_type(
-            g.handle(START + n, request(n, customer=n, gateway_spread=200)), SetTimer
+        assert not actions_of_type(
+            g.handle(START_MS + n, request_arrived(n, customer=n, gateway_spread=200)), SetTimer
         )
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -8,7 +8,15 @@
 
 from sumacpost.model import Action, EndpointStatus, Fail, Outcome, Reject, Send, UpdateKind
 from sumacpost.policy.gateway import Gateway
-from tests.support.builders import START, ended, fleet, gateway, of_type, request, the_only
+from tests.support.builders import (
+    START_MS,
+    actions_of_type,
+    attempt_ended,
+    endpoint_list_update,
+    gateway,
+    only_action,
+    request_arrived,
+)
 
 # The classes of the usual settings: what they state of idempotency, and how far a key holds.
 IDEMPOTENT, KEY_IN_CELL, KEY_ANYWHERE, NOT_IDEMPOTENT = range(4)
@@ -16,8 +24,8 @@
 NEVER_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED)
 
 
-def first_send(g: Gateway, number: int, cls: int, now: float = START) -> Send:
-    return the_only(Send, g.handle(now, request(number, cls)))
+def first_send(g: Gateway, number: int, cls: int, now: float = START_MS) -> Send:
+    return only_action(Send, g.handle(now, request_arrived(number, cls)))
 
 
 @pytest.mark.parametrize("outcome", POSSIBLY_EXECUTED + NEVER_EXECUTED)
@@ -27,7 +35,7 @@
 ) -> None:
     g = gateway()
     send = first_send(g, 1, cls)
-    (action,) = g.handle(START + 50, ended(1, send.backend, outcome))
+    (action,) = g.handle(START_MS + 50, attempt_ended(1, send.backend, outcome))
     if cls == NOT_IDEMPOTENT and outcome in POSSIBLY_EXECUTED:
         assert isinstance(action, Fail)
         return
@@ -40,21 +48,30 @@
 
 @pytest.mark.parametrize(
     ("cls", "kind"),
-    [(KEY_IN_CELL, Fail), (KEY_ANYWHERE, Reject), (NOT_IDEMPOTENT, Fail), (IDEMPOTENT, Reject)],
+    [
+        (KEY_IN_CELL, Fail),
+        (KEY_ANYWHERE, Reject),
+        (NOT_IDEMPOTENT, Fail),
+        (IDEMPOTENT, Reject),
+    ],
 )
 def test_nothing_is_retried_past_the_window_and_no_rejection_promises_too_much(
     cls: int, kind: type[Action]
 ) -> None:
     g = gateway(max_attempts=3 if cls in (KEY_IN_CELL, KEY_ANYWHERE) else 1)
     send = first_send(g, 1, cls)
-    (action,) = g.handle(START + 3000, ended(1, send.backend, Outcome.RESET, elapsed_ms=3000))
+    (action,) = g.handle(
+        START_MS + 3000, attempt_ended(1, send.backend, Outcome.RESET, elapsed_ms=3000)
+    )
     assert isinstance(action, kind)
 
 
 def test_timeout_at_the_deadline_gets_its_final_response() -> None:
     g = gateway()
     send = first_send(g, 1, IDEMPOTENT)
-    (action,) = g.handle(START + 4000, ended(1, send.backend, Outcome.TIMEOUT, elapsed_ms=4000))
+    (action,) = g.handle(
+        START_MS + 4000, attempt_ended(1, send.backend, Outcome.TIMEOUT, elapsed_ms=4000)
+    )
     assert isinstance(action, Reject)
 
 
@@ -62,13 +79,13 @@
     g = gateway(*range(1, 9))
     attempts = 0
     for number in range(500):
-        now = START + number * 10
-        sends = of_type(g.handle(now, request(number)), Send)
+        now = START_MS + number * 10
+        sends = actions_of_type(g.handle(now, request_arrived(number)), Send)
         attempt = 0
         while sends:
             attempts += 1
-            failed = ended(number, sends[0].backend, Outcome.ERROR, attempt, 1)
-            sends = of_type(g.handle(now, failed), Send)
+            failed = attempt_ended(number, sends[0].backend, Outcome.ERROR, attempt, 1)
+            sends = actions_of_type(g.handle(now, failed), Send)
             attempt += 1
     assert attempts <= 500 * 1.1 + 10
 
@@ -77,12 +94,15 @@
     g = gateway(1, 2)
     send = first_send(g, 1, IDEMPOTENT)
     other = 3 - send.backend
-    g.handle(START + 10, fleet(other, state=EndpointStatus.DRAINING, kind=UpdateKind.CHANGES))
-    (action,) = g.handle(START + 20, ended(1, send.backend, Outcome.REJECTED))
+    g.handle(
+        START_MS + 10,
+        endpoint_list_update(other, state=EndpointStatus.DRAINING, kind=UpdateKind.CHANGES),
+    )
+    (action,) = g.handle(START_MS + 20, attempt_ended(1, send.backend, Outcome.REJECTED))
     assert isinstance(action, Send)
     assert action.backend == send.backend
-    g.handle(START + 30, fleet(7))  # a full list without 1 and 2
-    assert first_send(g, 2, IDEMPOTENT, START + 4000).backend == 7
+    g.handle(START_MS + 30, endpoint_list_update(7))  # a full list without 1 and 2
+    assert first_send(g, 2, IDEMPOTENT, START_MS + 4000).backend == 7
 
 
 @pytest.mark.parametrize(("connect_timeout_ms", "retried"), [(250.0, True), (1400.0, False)])
@@ -92,9 +112,11 @@
     """Of the window of 3 s 1.6 s are gone when the retry begins to connect."""
     g = gateway(1, 2, 3, connect_timeout_ms=connect_timeout_ms)
     send = first_send(g, 1, KEY_ANYWHERE)
-    actions = g.handle(START + 1600, ended(1, send.backend, Outcome.RESET, elapsed_ms=1600.0))
-    assert bool(of_type(actions, Send)) is retried
-    assert bool(of_type(actions, Reject)) is not retried
+    actions = g.handle(
+        START_MS + 1600, attempt_ended(1, send.backend, Outcome.RESET, elapsed_ms=1600.0)
+    )
+    assert bool(actions_of_type(actions, Send)) is retried
+    assert bool(actions_of_type(actions, Reject)) is not retried
 
 
 @pytest.mark.parametrize(("took_ms", "retried"), [(2600.0, True), (2800.0, False)])
@@ -104,25 +126,33 @@
     """On sockets an attempt may take the time to connect before its last byte is written."""
     g = gateway(1, 2, 3, 4)
     send = first_send(g, 1, KEY_ANYWHERE)
-    actions = g.handle(START + took_ms, ended(1, send.backend, Outcome.RESET, elapsed_ms=took_ms))
+    actions = g.handle(
+        START_MS + took_ms, attempt_ended(1, send.backend, Outcome.RESET, elapsed_ms=took_ms)
+    )
     assert isinstance(actions[0], Send) is retried
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
 def test_request_that_is_not_idempotent_is_retried_only_if_it_never_ran(outcome: Outcome) -> None:
     g = gateway(1, 2, 3, hedging=True)
-    (send,) = g.handle(START, request(1, request_class=NOT_IDEMPOTENT))  # no timer for hedging
+    (send,) = g.handle(
+        START_MS, request_arrived(1, request_class=NOT_IDEMPOTENT)
+    )  # no timer for hedging
     assert isinstance(send, Send)
-    end = replace(ended(1, send.backend, outcome, elapsed_ms=5.0), concluded=outcome is Outcome.OK)
-    actions = g.handle(START + 5, end)
-    assert bool(of_type(actions, Send)) is outcome.never_ran
-    assert bool(of_type(actions, Fail)) is (outcome is not Outcome.OK and not outcome.never_ran)
+    end = replace(
+        attempt_ended(1, send.backend, outcome, elapsed_ms=5.0), concluded=outcome is Outcome.OK
+    )
+    actions = g.handle(START_MS + 5, end)
+    assert bool(actions_of_type(actions, Send)) is outcome.never_ran
+    assert bool(actions_of_type(actions, Fail)) is (
+        outcome is not Outcome.OK and not outcome.never_ran
+    )
 
 
 def test_retry_by_key_stays_in_its_cell_after_its_backend_left_the_list() -> None:
     g = gateway(1, 2, 3, 4)
     send = first_send(g, 1, KEY_IN_CELL)
-    g.handle(START + 1, fleet(*[n for n in (1, 2, 3, 4) if n != send.backend]))
-    actions = g.handle(START + 50, ended(1, send.backend, Outcome.RESET, elapsed_ms=50))
-    retry = of_type(actions, Send)[0]
+    g.handle(START_MS + 1, endpoint_list_update(*[n for n in (1, 2, 3, 4) if n != send.backend]))
+    actions = g.handle(START_MS + 50, attempt_ended(1, send.backend, Outcome.RESET, elapsed_ms=50))
+    retry = actions_of_type(actions, Send)[0]
     assert retry.backend % 2 == send.backend % 2
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -31,14 +31,14 @@
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.pending_request import PendingRequest
 from tests.support.builders import (
-    START,
-    ended,
-    fleet,
+    START_MS,
+    actions_of_type,
+    attempt_ended,
+    endpoint_list_update,
     gateway,
-    of_type,
-    request,
+    only_action,
+    request_arrived,
     settings,
-    the_only,
 )
 from tests.support.rule_checker import Handler, RuleBrokenError, RuleChecker
 
@@ -77,10 +77,10 @@
     ) -> None:
         self.checker = RuleChecker(handle, settings)
         self.restart_gateway = restart
-        self.now = START
+        self.now = START_MS
         self.request_count = 0
         self.in_flight: list[InFlight] = []
-        self.checker.feed(self.now, fleet(1, 2, 3, 4))
+        self.checker.feed(self.now, endpoint_list_update(1, 2, 3, 4))
 
     def play(self, steps: list[Step]) -> None:
         """Play the steps, then end whatever is in flight, and check that all is answered."""
@@ -104,7 +104,7 @@
         self.checker.finish()
 
     def start_attempts(self, actions: list[Action]) -> None:
-        for send in of_type(actions, Send):
+        for send in actions_of_type(actions, Send):
             attempt = len(self.checker.requests[send.request].attempts) - 1
             self.in_flight.append(InFlight(send.request, attempt, send.backend, self.now))
 
@@ -130,7 +130,7 @@
 
     def ask(self, pick: int) -> None:
         self.request_count += 1
-        event = request(
+        event = request_arrived(
             self.request_count,
             pick % 4,
             pick % 3,
@@ -152,7 +152,7 @@
         kind = list(UpdateKind)[pick // 3 % 4]
         ids = [backend for backend in (1, 2, 3, 4) if pick >> (backend + 4) & 1]
         up = self.now if pick % 5 == 0 else 0.0
-        self.checker.feed(self.now, fleet(*ids, state=state, kind=kind, up=up))
+        self.checker.feed(self.now, endpoint_list_update(*ids, state=state, kind=kind, up=up))
 
     def fire_timer(self, pick: int) -> None:
         self.checker.feed(self.now, TimerFired(pick % 2))
@@ -166,7 +166,7 @@
             tracked.concluded = True
         self.checker.handle = self.restart_gateway()
         ready = [n for n in self.checker.listed if n not in self.checker.draining_since]
-        self.checker.feed(self.now, fleet(*ready, kind=UpdateKind.CACHED))
+        self.checker.feed(self.now, endpoint_list_update(*ready, kind=UpdateKind.CACHED))
 
 
 @given(STEPS, st.booleans())
@@ -185,25 +185,25 @@
 
 def test_backend_that_comes_back_is_used_again() -> None:
     g = gateway(1)
-    g.handle(START, fleet(1, state=EndpointStatus.GONE, kind=UpdateKind.CHANGES))
-    assert isinstance(g.handle(START, request(1))[0], Reject)
-    g.handle(START, fleet(1, kind=UpdateKind.CHANGES))
-    assert the_only(Send, g.handle(START, request(2))).backend == 1
+    g.handle(START_MS, endpoint_list_update(1, state=EndpointStatus.GONE, kind=UpdateKind.CHANGES))
+    assert isinstance(g.handle(START_MS, request_arrived(1))[0], Reject)
+    g.handle(START_MS, endpoint_list_update(1, kind=UpdateKind.CHANGES))
+    assert only_action(Send, g.handle(START_MS, request_arrived(2))).backend == 1
 
 
 def test_ceiling_starts_empty_and_holds_across_a_restart() -> None:
     s = settings(plans=(Plan(1000, 1000, ceiling_rate=10, ceiling_burst=20),))
     checker = RuleChecker(Gateway(s, 1).handle, s)
-    checker.feed(START, fleet(1, 2, 3, 4))
+    checker.feed(START_MS, endpoint_list_update(1, 2, 3, 4))
     sent = 0
     for number in range(2000):
-        now = START + number * 5
+        now = START_MS + number * 5
         if number == 1000:
             checker.handle = Gateway(s, 2).handle
-            checker.feed(now, fleet(1, 2, 3, 4, kind=UpdateKind.CACHED))
-        for send in of_type(checker.feed(now, request(number)), Send):
+            checker.feed(now, endpoint_list_update(1, 2, 3, 4, kind=UpdateKind.CACHED))
+        for send in actions_of_type(checker.feed(now, request_arrived(number)), Send):
             sent += 1
-            checker.feed(now, ended(number, send.backend, elapsed_ms=1))
+            checker.feed(now, attempt_ended(number, send.backend, elapsed_ms=1))
     assert 40 <= sent <= 50  # 5 units a second for 10 s
 
 
@@ -216,20 +216,20 @@
     new_gateway: Callable[[], Gateway],
 ) -> None:
     g = new_gateway()
-    assert g.handle(START, ended(77, 5)) == []
-    assert g.handle(START, RequestCancelled(5)) == []
-    g.handle(START, TimerFired(99))
+    assert g.handle(START_MS, attempt_ended(77, 5)) == []
+    assert g.handle(START_MS, RequestCancelled(5)) == []
+    g.handle(START_MS, TimerFired(99))
 
 
 def test_gateway_without_endpoints_rejects_and_serves_once_it_has_some() -> None:
     g = unlisted_gateway()
-    g.handle(START, fleet(kind=UpdateKind.CACHED))
-    (rejection,) = g.handle(START, request(1))
+    g.handle(START_MS, endpoint_list_update(kind=UpdateKind.CACHED))
+    (rejection,) = g.handle(START_MS, request_arrived(1))
     assert isinstance(rejection, Reject)
-    g.handle(START, fleet(1, kind=UpdateKind.FULL))
-    send = the_only(Send, g.handle(START, request(2)))
-    g.handle(START + 1, RequestCancelled(2))
-    assert g.handle(START + 2, ended(2, send.backend, Outcome.RESET)) == []
+    g.handle(START_MS, endpoint_list_update(1, kind=UpdateKind.FULL))
+    send = only_action(Send, g.handle(START_MS, request_arrived(2)))
+    g.handle(START_MS + 1, RequestCancelled(2))
+    assert g.handle(START_MS + 2, attempt_ended(2, send.backend, Outcome.RESET)) == []
 
 
 class FaultyGateway(Gateway):
@@ -275,11 +275,11 @@
     s = settings(plans=(Plan(1000, 1000, ceiling_rate=10, ceiling_burst=20),))
     without_ceiling = settings(plans=(Plan(1000, 1000),))
     checker = RuleChecker(Gateway(without_ceiling, 1).handle, s)
-    checker.feed(START, fleet(*range(1, 60)))
+    checker.feed(START_MS, endpoint_list_update(*range(1, 60)))
 
     def pass_the_ceiling() -> None:
         for number in range(30):
-            checker.feed(START, request(number))
+            checker.feed(START_MS, request_arrived(number))
 
     with pytest.raises(RuleBrokenError, match="ceiling"):
         pass_the_ceiling()
--- a/tests/policy/test_service_time.py
+++ b/tests/policy/test_service_time.py
@@ -6,7 +6,13 @@
 
 from sumacpost.model import Send
 from sumacpost.policy.service_time import BLOCK_SIZE, ServiceTime
-from tests.support.builders import START, ended, gateway, of_type, request
+from tests.support.builders import (
+    START_MS,
+    actions_of_type,
+    attempt_ended,
+    gateway,
+    request_arrived,
+)
 
 
 def observed(*values: float) -> ServiceTime:
@@ -36,11 +42,13 @@
     """The fault of 2026-12-03: their time was divided by their number."""
     g = gateway(1)
     for number in range(0, 600, 6):
-        now = START + number * 100
+        now = START_MS + number * 100
         batch = range(number, number + 6)
-        sends = [send for n in batch for send in of_type(g.handle(now, request(n)), Send)]
+        sends = [
+            send for n in batch for send in actions_of_type(g.handle(now, request_arrived(n)), Send)
+        ]
         for send in sends:
-            g.handle(now + 100, ended(send.request, send.backend, elapsed_ms=100))
+            g.handle(now + 100, attempt_ended(send.request, send.backend, elapsed_ms=100))
     assert g.estimate.mean_work < 100
     assert g.estimate.service_time.longest_ms(1) >= 100
 
--- a/tests/policy/test_shutdown.py
+++ b/tests/policy/test_shutdown.py
@@ -8,7 +8,7 @@
 
 from sumacpost.model import DrainStarted, Idempotency, Outcome, Reject, RequestClass, Send
 from sumacpost.policy.shutdown import shutdown_schedule
-from tests.support.builders import START, ended, gateway, request, the_only
+from tests.support.builders import START_MS, attempt_ended, gateway, only_action, request_arrived
 
 
 def request_class(deadline_ms: float) -> RequestClass:
@@ -50,8 +50,8 @@
 ) -> None:
     """Its own deadline is later; a retry would be lost with the process."""
     subject = gateway()
-    sent = the_only(Send, subject.handle(START, request(1, time_left_ms=4000.0)))
+    sent = only_action(Send, subject.handle(START_MS, request_arrived(1, time_left_ms=4000.0)))
     if drained:
-        subject.handle(START + 100, DrainStarted(1000.0))
-    end = ended(1, sent.backend, Outcome.TIMEOUT)
-    the_only(Reject if drained else Send, subject.handle(START + 1100, end))
+        subject.handle(START_MS + 100, DrainStarted(1000.0))
+    end = attempt_ended(1, sent.backend, Outcome.TIMEOUT)
+    only_action(Reject if drained else Send, subject.handle(START_MS + 1100, end))
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -11,7 +11,16 @@
 from sumacpost.policy.backend import Backend
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.slow_start import SlowStart
-from tests.support.builders import SAFE, START, ended, fleet, gateway, of_type, request, the_only
+from tests.support.builders import (
+    IDEMPOTENT_CLASS,
+    START_MS,
+    actions_of_type,
+    attempt_ended,
+    endpoint_list_update,
+    gateway,
+    only_action,
+    request_arrived,
+)
 from tests.support.fleet_simulation import FleetSimulation
 from tests.support.simulated_backend import Scenario
 
@@ -65,17 +74,17 @@
     """Under a flood it takes less than twice its guaranteed part in any 3 s."""
     g = gateway(1, 2, 3)
     for number in range(300):  # in which the gateway learns what the fleet can do
-        now = START + number * 20
-        send = the_only(Send, g.handle(now, request(number)))
-        g.handle(now + 15, ended(number, send.backend, elapsed_ms=150))
-    cold_start = START + 6000
-    g.handle(cold_start, fleet(4, kind=UpdateKind.CHANGES, up=cold_start))
+        now = START_MS + number * 20
+        send = only_action(Send, g.handle(now, request_arrived(number)))
+        g.handle(now + 15, attempt_ended(number, send.backend, elapsed_ms=150))
+    cold_start = START_MS + 6000
+    g.handle(cold_start, endpoint_list_update(4, kind=UpdateKind.CHANGES, up=cold_start))
     sends: list[tuple[float, int]] = []
     for number in range(1000, 2500):
         now = cold_start + (number - 1000) * 4
-        for send in of_type(g.handle(now, request(number)), Send):
+        for send in actions_of_type(g.handle(now, request_arrived(number)), Send):
             sends.append((now, send.backend))
-            g.handle(now + 1, ended(number, send.backend, elapsed_ms=150))
+            g.handle(now + 1, attempt_ended(number, send.backend, elapsed_ms=150))
     to_cold = [sent_at for sent_at, backend in sends if backend == 4]
     to_warm = [sent_at for sent_at, backend in sends if backend != 4]
     assert to_cold
@@ -131,7 +140,7 @@
             gateway(
                 gateways=self.gateways,
                 index=index,
-                classes=(SAFE,),
+                classes=(IDEMPOTENT_CLASS,),
                 initial_capacity=0.2,
                 slow_start_ms=1e6,
                 max_units=8,
@@ -140,15 +149,15 @@
             index,
         )
         cold = range(FIRST_COLD, FIRST_COLD + self.cold)
-        g.handle(START, fleet(*range(1, self.warm + 1)))
-        g.handle(START, fleet(*cold, kind=UpdateKind.CHANGES, up=START))
+        g.handle(START_MS, endpoint_list_update(*range(1, self.warm + 1)))
+        g.handle(START_MS, endpoint_list_update(*cold, kind=UpdateKind.CHANGES, up=START_MS))
         for number in range(1, seconds * 2 * 4 + 1):
-            now = START + (number - 1) // 4 * 500
+            now = START_MS + (number - 1) // 4 * 500
             units = self.units[number % len(self.units)]
-            for send in of_type(g.handle(now, request(number, units=units)), Send):
+            for send in actions_of_type(g.handle(now, request_arrived(number, units=units)), Send):
                 if send.backend >= FIRST_COLD:
                     self.work_at[send.backend - FIRST_COLD] += [now] * int(units)
-                end = ended(number, send.backend, elapsed_ms=WORK_MS * units)
+                end = attempt_ended(number, send.backend, elapsed_ms=WORK_MS * units)
                 report = self.report if send.backend >= FIRST_COLD else self.warm_report
                 g.handle(now, replace(end, report=report))
 
@@ -217,15 +226,15 @@
 
 def test_gateways_without_a_budget_break_the_bound() -> None:
     start = ColdStart(60, 20, 10, UnboundedGateway).run(seconds=9)
-    in_first_window = [sum(at < START + 3000 for at in times) for times in start.work_at]
+    in_first_window = [sum(at < START_MS + 3000 for at in times) for times in start.work_at]
     assert max(in_first_window) * WORK_MS > MAX_WORK_MS
 
 
 def test_load_report_changes_an_estimate_gradually_and_an_idle_one_not_at_all() -> None:
     g = gateway(1, report_fields=REPORT_FIELDS)
     for number, report in enumerate([(0.0, 2.0, 0.1), (0.0, 0.0, 0.9), (), (0.0, 9.0, 0.9)]):
-        for send in of_type(g.handle(START, request(number)), Send):
-            g.handle(START, replace(ended(number, send.backend), report=report))
+        for send in actions_of_type(g.handle(START_MS, request_arrived(number)), Send):
+            g.handle(START_MS, replace(attempt_ended(number, send.backend), report=report))
     assert g.estimate.warm_capacity == pytest.approx(0.5)  # a twentieth of ten
 
 
@@ -233,7 +242,9 @@
 
 
 def sent_to_cold(g: Gateway, numbers: range, now: float) -> int:
-    sends = [send for n in numbers for send in of_type(g.handle(now, request(n)), Send)]
+    sends = [
+        send for n in numbers for send in actions_of_type(g.handle(now, request_arrived(n)), Send)
+    ]
     return sum(send.backend >= FIRST_COLD for send in sends)
 
 
@@ -241,28 +252,30 @@
     """Return a gateway that knows its backends, one of them cold, with a window of 3 s."""
     g = gateway(1)
     for number in range(1000, 1100):
-        now = START + 100 * (number - 1000)
-        (send,) = of_type(g.handle(now, request(number)), Send)
-        g.handle(now + 50, ended(number, send.backend, elapsed_ms=50))
-    g.handle(START + 10_000, fleet(FIRST_COLD, kind=UpdateKind.CHANGES, up=up))
+        now = START_MS + 100 * (number - 1000)
+        (send,) = actions_of_type(g.handle(now, request_arrived(number)), Send)
+        g.handle(now + 50, attempt_ended(number, send.backend, elapsed_ms=50))
+    g.handle(START_MS + 10_000, endpoint_list_update(FIRST_COLD, kind=UpdateKind.CHANGES, up=up))
     return g
 
 
 def test_a_gateway_spares_a_backend_that_an_earlier_life_may_have_sent_to() -> None:
     g = gateway(1)
-    g.handle(START, fleet(FIRST_COLD, kind=UpdateKind.CHANGES, up=START - 500))
-    assert sent_to_cold(g, range(20), START + 1000) == 0
-    assert sent_to_cold(g, range(20, 40), START + 4000) > 0
+    g.handle(START_MS, endpoint_list_update(FIRST_COLD, kind=UpdateKind.CHANGES, up=START_MS - 500))
+    assert sent_to_cold(g, range(20), START_MS + 1000) == 0
+    assert sent_to_cold(g, range(20, 40), START_MS + 4000) > 0
 
 
 def test_a_gateway_uses_a_backend_that_has_started_in_its_life() -> None:
     g = gateway(1)
-    g.handle(START + 500, fleet(FIRST_COLD, kind=UpdateKind.CHANGES, up=START + 500))
-    assert sent_to_cold(g, range(20), START + 1000) > 0
+    g.handle(
+        START_MS + 500, endpoint_list_update(FIRST_COLD, kind=UpdateKind.CHANGES, up=START_MS + 500)
+    )
+    assert sent_to_cold(g, range(20), START_MS + 1000) > 0
 
 
 def test_a_share_is_for_any_window_not_for_one_that_begins_anew() -> None:
-    g = before_a_cold_start(START + 10_000)
+    g = before_a_cold_start(START_MS + 10_000)
     slow_start = g.load_balancer.slow_start
     backend = g.endpoints.backends[FIRST_COLD]
     numbers = count()
@@ -284,9 +297,13 @@
 
 
 def test_an_attempt_counts_from_when_it_is_written() -> None:
-    g = before_a_cold_start(START + 10_000)
-    now = START + 11_000
-    sends = [send for n in range(200) for send in of_type(g.handle(now, request(n)), Send)]
+    g = before_a_cold_start(START_MS + 10_000)
+    now = START_MS + 11_000
+    sends = [
+        send
+        for n in range(200)
+        for send in actions_of_type(g.handle(now, request_arrived(n)), Send)
+    ]
     to_cold = [send for send in sends if send.backend == FIRST_COLD]
     for send in to_cold:
         assert g.write_obstacle(now + 1500, send.request, 0) is None
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -17,7 +17,15 @@
     Subset,
     splitmix64,
 )
-from tests.support.builders import KEYED, SAFE, START, ended, fleet, gateway, request
+from tests.support.builders import (
+    IDEMPOTENT_CLASS,
+    KEYED_CELL_CLASS,
+    START_MS,
+    attempt_ended,
+    endpoint_list_update,
+    gateway,
+    request_arrived,
+)
 
 SIZES = [  # gateways, backends
     (6, 12),
@@ -227,11 +235,13 @@
     assert len(g.endpoints.backends) == 400
     partition = Partition(640, 9, 4)
     held = [backend for backend in listed if partition.holds(backend)]
-    g.handle(START, EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(held[0])], partition_count=4))
+    g.handle(
+        START_MS, EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(held[0])], partition_count=4)
+    )
     ready = sorted(entry.backend for entry in g.endpoints.subset.ready)
     assert sorted(g.endpoints.backends) == sorted(held) == ready
     assert 60 <= len(held) <= 140
-    assert [type(action) for action in g.handle(START, request(1))] == [Send]
+    assert [type(action) for action in g.handle(START_MS, request_arrived(1))] == [Send]
 
 
 def test_the_budget_of_a_cold_backend_is_shared_among_its_gateways() -> None:
@@ -239,9 +249,11 @@
     gateway_counts = []
     for gateways in (2, 40):
         g = gateway(*range(1, 41), gateways=gateways, index=0, initial_capacity=0.5)
-        g.handle(START, fleet(*range(1, 41), kind=UpdateKind.CHANGES, up=START))
+        g.handle(
+            START_MS, endpoint_list_update(*range(1, 41), kind=UpdateKind.CHANGES, up=START_MS)
+        )
         (backend, *_) = g.endpoints.subset.members()
-        g.load_balancer.slow_start.admits(START, g.endpoints.backends[backend], 1.0)
+        g.load_balancer.slow_start.admits(START_MS, g.endpoints.backends[backend], 1.0)
         budgets.append(g.endpoints.backends[backend].slow_start_share)
         gateway_counts.append(g.endpoints.subset.gateways_of(backend))
     assert gateway_counts[0] == 2
@@ -254,11 +266,11 @@
     zones = {backend: backend % 30 for backend in range(1, 901)}
     endpoints = [Endpoint(backend, zone=zone, cell=zone) for backend, zone in zones.items()]
     for index in range(0, 900, 90):
-        g = gateway(1, gateways=900, index=index, classes=(KEYED,))
-        g.handle(START, EndpointListUpdate(UpdateKind.FULL, endpoints))
-        (send,) = sends(g.handle(START, request(1)))
-        reset = ended(1, send.backend, Outcome.RESET, elapsed_ms=50)
-        retries = sends(g.handle(START + 50, reset))
+        g = gateway(1, gateways=900, index=index, classes=(KEYED_CELL_CLASS,))
+        g.handle(START_MS, EndpointListUpdate(UpdateKind.FULL, endpoints))
+        (send,) = sends(g.handle(START_MS, request_arrived(1)))
+        reset = attempt_ended(1, send.backend, Outcome.RESET, elapsed_ms=50)
+        retries = sends(g.handle(START_MS + 50, reset))
         assert retries
         assert retries[0].backend != send.backend
         assert zones[retries[0].backend] == zones[send.backend]
@@ -266,7 +278,7 @@
 
 
 def test_no_more_candidates_are_compared_in_a_large_partition() -> None:
-    g = gateway(*random_backends(1000), gateways=40, classes=(SAFE,))
-    g.handle(START, request(1))
+    g = gateway(*random_backends(1000), gateways=40, classes=(IDEMPOTENT_CLASS,))
+    g.handle(START_MS, request_arrived(1))
     assert len(g.endpoints.subset.members()) > MAX_CANDIDATES
     assert len(g.load_balancer.candidates(g.pending[1])) == MAX_CANDIDATES
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -11,7 +11,7 @@
 PAYLOAD = b"POST /vat-filing HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"
 
 
-class Outcomes:
+class AttemptRecorder:
     """A fleet of one backend, at a port of this machine; records the outcomes of its attempts."""
 
     def __init__(self, port: int, max_connections: int = 10, idle_timeout_s: float = 30.0) -> None:
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -24,14 +24,18 @@
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.quota import CustomerQuota
 
-SAFE = RequestClass(1500, 6000, 3, Idempotency.IDEMPOTENT)
-KEYED = RequestClass(1000, 4000, 5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 3000)
-KEYED_ALL = RequestClass(1000, 4000, 5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 3000)
-UNSAFE = RequestClass(3000, 8000, 9, Idempotency.NOT_IDEMPOTENT)
-OPEN = Plan(0, 0)
-START = 1000.0
+IDEMPOTENT_CLASS = RequestClass(1500, 6000, 3, Idempotency.IDEMPOTENT)
+KEYED_CELL_CLASS = RequestClass(
+    1000, 4000, 5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, 3000
+)
+KEYED_ALL_CLASS = RequestClass(
+    1000, 4000, 5, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL, 3000
+)
+NOT_IDEMPOTENT_CLASS = RequestClass(3000, 8000, 9, Idempotency.NOT_IDEMPOTENT)
+UNLIMITED_PLAN = Plan(0, 0)
+START_MS = 1000.0
 
-Kind = TypeVar("Kind")
+ActionType = TypeVar("ActionType")
 
 
 def settings(**changes: Any) -> Settings:
@@ -39,8 +43,8 @@
     base = Settings(
         gateways=2,
         index=0,
-        classes=(SAFE, KEYED, KEYED_ALL, UNSAFE),
-        plans=(OPEN,),
+        classes=(IDEMPOTENT_CLASS, KEYED_CELL_CLASS, KEYED_ALL_CLASS, NOT_IDEMPOTENT_CLASS),
+        plans=(UNLIMITED_PLAN,),
         max_attempts=3,
         initial_capacity=0.2,
         slow_start_ms=10_000,
@@ -55,7 +59,7 @@
     return replace(base, **changes)
 
 
-def fleet(
+def endpoint_list_update(
     *ids: int,
     state: EndpointStatus = EndpointStatus.READY,
     kind: UpdateKind = UpdateKind.FULL,
@@ -68,31 +72,33 @@
 def gateway(*ids: int, seed: int = 7, **changes: Any) -> Gateway:
     """Return a gateway that knows these backends, or 1 to 4."""
     made = Gateway(settings(**changes), seed)
-    made.handle(START, fleet(*(ids or (1, 2, 3, 4))))
+    made.handle(START_MS, endpoint_list_update(*(ids or (1, 2, 3, 4))))
     return made
 
 
-def bucket_of(tokens: float, plan: Plan, **changes: Any) -> tuple[Gateway, CustomerQuota]:
+def gateway_with_customer(
+    tokens: float, plan: Plan, **changes: Any
+) -> tuple[Gateway, CustomerQuota]:
     """Return one gateway of four, without a counter, and its customer 9 with so many tokens."""
     made = gateway(*range(1, 30), plans=(plan,), gateways=4, **changes)
-    customer = CustomerQuota(plan, 4, START, 9)
+    customer = CustomerQuota(plan, 4, START_MS, 9)
     customer.tokens = tokens
     made.customers.by_number[9] = customer
     return made, customer
 
 
-def of_type(actions: Iterable[Action], kind: type[Kind]) -> list[Kind]:
+def actions_of_type(actions: Iterable[Action], kind: type[ActionType]) -> list[ActionType]:
     """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
-def the_only(kind: type[Kind], actions: Iterable[Action]) -> Kind:
+def only_action(kind: type[ActionType], actions: Iterable[Action]) -> ActionType:
     """Return the only action of a type; there may be others of other types."""
-    (found,) = of_type(actions, kind)
+    (found,) = actions_of_type(actions, kind)
     return found
 
 
-def request(
+def request_arrived(
     number: int,
     request_class: int = 0,
     customer: int = 9,
@@ -108,7 +114,7 @@
     )
 
 
-def ended(
+def attempt_ended(
     number: int,
     backend: int,
     outcome: Outcome = Outcome.OK,
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -24,7 +24,7 @@
     UpdateKind,
 )
 from sumacpost.policy.gateway import Gateway
-from tests.support.builders import OPEN, START, request, settings
+from tests.support.builders import START_MS, UNLIMITED_PLAN, request_arrived, settings
 from tests.support.simulated_backend import (
     LARGE_FRACTION,
     LARGE_UNITS,
@@ -62,8 +62,8 @@
     ) -> None:
         self.scenario = scenario
         self.random = Random(seed)
-        self.now = START
-        self.cold_start = START + scenario.warm_up_ms
+        self.now = START_MS
+        self.cold_start = START_MS + scenario.warm_up_ms
         self.end = self.cold_start + scenario.slow_start_ms
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.event_order = count()
@@ -95,7 +95,7 @@
         )
         for server in self.cold:
             self._schedule(self.cold_start, server.start, self.cold_start)
-        self._schedule(START, self._arrive)
+        self._schedule(START_MS, self._arrive)
 
     def run(self) -> FleetSimulation:
         """Run until the cold backends are warm."""
@@ -121,7 +121,7 @@
                 "gateways": scenario.gateways,
                 "index": index,
                 "classes": CLASSES,
-                "plans": (OPEN,),
+                "plans": (UNLIMITED_PLAN,),
                 "max_attempts": 2,
                 "initial_capacity": scenario.initial_capacity,
                 "slow_start_ms": scenario.slow_start_ms,
@@ -149,11 +149,11 @@
         full = EndpointListUpdate(UpdateKind.FULL, [*started, *(Endpoint(n) for n in warm)])
         warm_up_ms = self.scenario.warm_up_ms
         for index in range(self.scenario.gateways):
-            self._schedule(START, self._handle, index, first)
+            self._schedule(START_MS, self._handle, index, first)
             late = self.random.random() < self.scenario.late
             if not (late and self.scenario.late_take_it_for_warm):
-                self._schedule(START + warm_up_ms * 0.5, self._handle, index, drained)
-                self._schedule(START + warm_up_ms * 0.9, self._handle, index, gone)
+                self._schedule(START_MS + warm_up_ms * 0.5, self._handle, index, drained)
+                self._schedule(START_MS + warm_up_ms * 0.9, self._handle, index, gone)
             delay = self.random.uniform(1000, 2500) if late else self.random.uniform(50, 600)
             self.notified_at[index] = self.cold_start + delay
             started_list = full if index % 2 else changes
@@ -179,7 +179,8 @@
         deadline_ms = CLASSES[cls].deadline_ms
         self._schedule(self.now + deadline_ms, self._time_out, job)
         self._handle(
-            gateway, request(number, cls, number % 997, units=units, time_left_ms=deadline_ms)
+            gateway,
+            request_arrived(number, cls, number % 997, units=units, time_left_ms=deadline_ms),
         )
 
     def _handle(self, gateway: int, event: Event) -> None:
--- a/tests/support/simulated_backend.py
+++ b/tests/support/simulated_backend.py
@@ -9,7 +9,7 @@
 from itertools import accumulate
 from math import sqrt
 
-from tests.support.builders import START
+from tests.support.builders import START_MS
 
 UNIT_MS = (60.0, 108.0)  # what a unit of each class takes on average, on a warm core of speed 1
 LARGE_UNITS = 8.0  # of a large request; the others have one unit
@@ -67,8 +67,8 @@
     arrivals: list[tuple[float, Job]] = field(default_factory=list)  # since its last start
     served: int = 0  # since the last load report
     busy_ms: float = 0.0  # of all cores since the last load report, up to `busy_until`
-    busy_until: float = START
-    measured_at: float = START
+    busy_until: float = START_MS
+    measured_at: float = START_MS
     report: tuple[float, ...] = (0.0, 0.0, 0.0)
 
     def capacity(self, now: float) -> float:
--- a/tests/test_hold_up.py
+++ b/tests/test_hold_up.py
@@ -18,7 +18,7 @@
 
 from sumacpost.model import Outcome
 from sumacpost.upstream.connection import RESPONSE_STALL_TIMEOUT_S, BackendConnection
-from tests.support.attempts import Outcomes
+from tests.support.attempts import AttemptRecorder
 from tests.support.counter_calls import scripted_counter
 from tests.support.event_loop import run, until
 from tests.support.http_client import LONG_TIMEOUT, request
@@ -172,7 +172,7 @@
 def test_a_connection_that_came_up_in_the_hold_up_is_used() -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             assert (await outcomes.outcome())[0] is Outcome.OK
 
     with asyncio.Runner(loop_factory=LateLoop) as runner:
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -9,7 +9,7 @@
 
 from sumacpost.http1 import MAX_BODY
 from sumacpost.model import Outcome
-from tests.support.attempts import Outcomes
+from tests.support.attempts import AttemptRecorder
 from tests.support.event_loop import run
 from tests.support.peers import Peer, Script, never_respond, respond, send_bytes
 
@@ -61,7 +61,7 @@
 def test_each_response_has_its_outcome(script: Script, outcome: Outcome) -> None:
     async def test() -> None:
         async with Peer(script) as peer:
-            got, response = await Outcomes(peer.port).outcome()
+            got, response = await AttemptRecorder(peer.port).outcome()
             assert got is outcome
             if outcome is Outcome.OK:
                 assert response is not None
@@ -76,7 +76,7 @@
         await peer.start()
         peer.server.close()
         await peer.server.wait_closed()
-        assert (await Outcomes(peer.port).outcome())[0] is Outcome.CONNECT_FAILED
+        assert (await AttemptRecorder(peer.port).outcome())[0] is Outcome.CONNECT_FAILED
 
     run(test())
 
@@ -93,7 +93,7 @@
             for filler in fillers:
                 filler.setblocking(False)
                 filler.connect_ex(("127.0.0.1", port))
-            outcomes = Outcomes(port)
+            outcomes = AttemptRecorder(port)
             assert (await outcomes.outcome())[0] is Outcome.CONNECT_FAILED
             assert outcomes.backends.open_connections == 0
             for filler in fillers:
@@ -111,7 +111,7 @@
             writer.transport.abort()
 
         async with Peer(hang_up, half) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             # more than the kernel's buffers take: the peer goes while some is to be written
             assert (await outcomes.outcome(b"x" * 50_000_000))[0] is Outcome.CONNECT_FAILED
             assert (await outcomes.outcome(b"x" * 10))[0] is Outcome.RESET
--- a/tests/upstream/test_connection_races.py
+++ b/tests/upstream/test_connection_races.py
@@ -13,7 +13,7 @@
 from sumacpost.upstream.attempt import Attempt
 from sumacpost.upstream.connection import BackendConnection
 from sumacpost.upstream.pool import REUSE_DELAY_S, ConnectionPool
-from tests.support.attempts import Outcomes
+from tests.support.attempts import AttemptRecorder
 from tests.support.configuration import SETTINGS
 from tests.support.connection_gate import ConnectionGate
 from tests.support.discovery_agent import endpoint_entry
@@ -31,7 +31,7 @@
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             attempt = outcomes.start()
             await until(lambda: connection_gate.arrived == 1)
             outcomes.backends.apply_update(
@@ -52,7 +52,7 @@
 ) -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             attempt = outcomes.start()
             await until(lambda: connection_gate.arrived == 1)
             outcomes.backends.update_endpoint(1, ("127.0.0.1", 1))
@@ -71,7 +71,7 @@
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
 
             class Leaving(BackendConnection):
                 def __init__(self, pool: ConnectionPool, sock: socket.socket) -> None:
@@ -210,7 +210,7 @@
             writer.write(early_response)
 
         async with Peer(early, first_bytes) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             got, _ = await outcomes.outcome(b"x" * 50_000_000)
             assert got is outcome
             assert outcomes.backends.open_connections == 0
@@ -223,7 +223,7 @@
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             await outcomes.outcome()
             (connection,) = outcomes.backends._pools[1].idle
             connection.idle_since = asyncio.get_running_loop().time() - 0.007
@@ -240,7 +240,7 @@
 
     async def test() -> None:
         async with Peer(never_respond) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             first = outcomes.start()
             await until(lambda: len(peer.requests) == 1)
             second = outcomes.start()
@@ -259,7 +259,7 @@
 def test_a_backend_that_has_restarted_gets_new_connections() -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             await outcomes.outcome()
             outcomes.backends.update_endpoint(1, ("127.0.0.1", peer.port), 7.0)
             assert outcomes.backends.open_connections == 0
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -10,7 +10,7 @@
 from sumacpost.model import Outcome
 from sumacpost.upstream.attempt import Attempt
 from sumacpost.upstream.pool import REUSE_DELAY_S, ConnectionPool
-from tests.support.attempts import PAYLOAD, Outcomes
+from tests.support.attempts import PAYLOAD, AttemptRecorder
 from tests.support.event_loop import run, until
 from tests.support.peers import Peer, never_respond, respond
 
@@ -18,7 +18,7 @@
 def test_the_most_recently_used_connection_is_reused() -> None:
     async def test() -> None:
         async with Peer(never_respond) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             first, second = outcomes.start(), outcomes.start()
             await until(lambda: len(peer.requests) == 2)
             for writer in peer.writers:
@@ -42,7 +42,7 @@
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             await outcomes.outcome()
             connection = outcomes.backends._pools[1].idle[-1]
             assert connection.usable()
@@ -61,7 +61,7 @@
 ) -> None:
     async def test() -> None:
         async with Peer(never_respond) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             first = outcomes.start()
             await until(lambda: len(peer.requests) == 1)
 
@@ -85,7 +85,7 @@
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             pool = outcomes.backends._pools[1]
             first = Attempt(None, 0, 1, lambda: PAYLOAD, 0.0)
             pool.waiting.append(first)  # its connection has not come up yet
@@ -104,7 +104,7 @@
             writer.transport.abort()
 
         server = await asyncio.start_server(hang_up, "127.0.0.1", 0)
-        outcomes = Outcomes(server.sockets[0].getsockname()[1])
+        outcomes = AttemptRecorder(server.sockets[0].getsockname()[1])
         for _ in range(20):
             assert (await outcomes.outcome())[0] in (Outcome.CONNECT_FAILED, Outcome.RESET)
         assert outcomes.backends.open_connections == 0
@@ -116,7 +116,7 @@
 def test_cancelling_an_attempt_closes_its_connection() -> None:
     async def test() -> None:
         async with Peer(never_respond) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             attempt = outcomes.start()
             await until(lambda: bool(peer.requests))
             outcomes.backends.cancel(attempt)
@@ -130,7 +130,7 @@
 def test_an_attempt_cancelled_while_it_connects_is_never_written() -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             outcomes.backends.cancel(outcomes.start())
             await until(
                 lambda: outcomes.backends.open_connections == 0
@@ -145,7 +145,7 @@
 def test_idle_connections_are_closed_before_the_backend_closes_them() -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port, idle_timeout_s=0.0)
+            outcomes = AttemptRecorder(peer.port, idle_timeout_s=0.0)
             await outcomes.outcome()
             assert outcomes.backends.open_connections == 1
             await asyncio.sleep(0.01)
@@ -163,7 +163,7 @@
         peers = [Peer(never_respond), Peer(respond())]
         for peer in peers:
             await peer.start()
-        outcomes = Outcomes(peers[0].port, max_connections=2)
+        outcomes = AttemptRecorder(peers[0].port, max_connections=2)
         outcomes.backends.update_endpoint(2, ("127.0.0.1", peers[1].port))
         outcomes.start()
         idle = Attempt(None, 0, 2, lambda: PAYLOAD, 0.0)
@@ -187,7 +187,7 @@
         old, new = Peer(respond(b"old")), Peer(respond(b"new"))
         for peer in (old, new):
             await peer.start()
-        outcomes = Outcomes(old.port)
+        outcomes = AttemptRecorder(old.port)
         _, response = await outcomes.outcome()
         assert response is not None
         assert response.body == b"old"
--- a/tests/upstream/test_unbounded_responses.py
+++ b/tests/upstream/test_unbounded_responses.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sumacpost.model import Outcome
-from tests.support.attempts import Outcomes
+from tests.support.attempts import AttemptRecorder
 from tests.support.discovery_agent import endpoint_entry, endpoint_list
 from tests.support.event_loop import run, until
 from tests.support.http_client import LINGER_ZERO, request
@@ -48,7 +48,7 @@
 ) -> None:
     async def test() -> None:
         async with Peer(script) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             got, response = await outcomes.outcome()
             assert got is outcome
             if outcome is Outcome.OK:
@@ -64,7 +64,7 @@
 
     async def test() -> None:
         async with Peer(send_bytes(HEAD + b"half", close=False)) as peer:
-            got, _ = await Outcomes(peer.port).outcome()
+            got, _ = await AttemptRecorder(peer.port).outcome()
             assert got is Outcome.RESET
 
     run(test())
