--- a/sumacpost/config.py
+++ b/sumacpost/config.py
@@ -2,7 +2,7 @@
 
 The file holds the settings of the deployment, the addresses of this ingress and its peers, its
 limits, and, under `known`, the endpoint list that the ingress last had. That list may be long, so
-the file is never held as a whole: it is decoded in pieces, in steps between which other work can be
+the file is never held as a whole: it is decoded in chunks, in steps between which other work can be
 done, and in two passes. The first reads everything but the list, the second the list alone, as the
 settings decide which part of it this ingress keeps, and may follow it in the file.
 """
@@ -28,7 +28,7 @@
 from sumacpost.model import DeduplicationScope, EndpointListUpdate, Settings, UpdateKind
 from sumacpost.settings_json import parse_settings_json
 
-PIECE_BYTES = 8 * 1024  # of the file, decoded in one step
+CHUNK_BYTES = 8 * 1024  # of the file, decoded in one step
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 64
 DEFAULT_MEMORY_MB = 64
@@ -79,10 +79,10 @@
 
 
 ConfigSteps = Generator[None, None, Config]
-"""A configuration being read: yields after each piece of the file, then returns the result."""
+"""A configuration being read: yields after each chunk of the file, then returns the result."""
 
-OpenPieces = Callable[[], Iterable[bytes]]
-"""Returns the pieces of the file from its start; called once for each pass."""
+OpenChunks = Callable[[], Iterable[bytes]]
+"""Returns the chunks of the file from its start; called once for each pass."""
 
 
 def load_config(path: str) -> Config:
@@ -91,15 +91,15 @@
 
 
 def load_config_in_steps(path: str) -> ConfigSteps:
-    """Read a file piece by piece; raise ConfigError, at any step, if it can't be used."""
+    """Read a file chunk by chunk; raise ConfigError, at any step, if it can't be used."""
 
-    def open_pieces() -> Iterator[bytes]:
+    def open_chunks() -> Iterator[bytes]:
         with Path(path).open("rb") as file:
-            while piece := file.read(PIECE_BYTES):
-                yield piece
+            while chunk := file.read(CHUNK_BYTES):
+                yield chunk
 
     try:
-        return (yield from _read_in_steps(open_pieces))
+        return (yield from _read_in_steps(open_chunks))
     except (OSError, ValueError) as error:
         raise ConfigError(f"{path}: {error}") from error
 
@@ -121,31 +121,31 @@
 # ---- the two passes
 
 
-def _read_in_steps(open_pieces: OpenPieces) -> ConfigSteps:
+def _read_in_steps(open_chunks: OpenChunks) -> ConfigSteps:
     """Read a configuration, and name in a ConfigError what is missing or invalid."""
     try:
-        return (yield from _read_both_passes(open_pieces))
+        return (yield from _read_both_passes(open_chunks))
     except KeyError as error:
         raise ConfigError(f"{error.args[0]} is missing") from error
     except (ValueError, TypeError, AttributeError) as error:
         raise ConfigError(" ".join(str(error).split())) from error
 
 
-def _read_both_passes(open_pieces: OpenPieces) -> ConfigSteps:
+def _read_both_passes(open_chunks: OpenChunks) -> ConfigSteps:
     first_pass = _ConfigBuilder()
-    yield from _decode(open_pieces(), first_pass)
+    yield from _decode(open_chunks(), first_pass)
     document = first_pass.document
     raw_settings = document["settings"]
     permissions = raw_settings.get("permissions", {})
     limits = _parse_limits(document.get("limits", {}))
     settings = parse_settings_json(raw_settings)
     backend_idle_timeout_s = _parse_idle_timeout_s(permissions)
-    reader = _endpoint_list_reader(raw_settings, settings)
+    reader = _create_endpoint_list_reader(raw_settings, settings)
     endpoints = EndpointListUpdate(UpdateKind.CACHED, [])
     addresses: AddressByBackend = {}
     if first_pass.has_known:
         parser = reader.new_parser()
-        yield from _decode(open_pieces(), _ConfigBuilder(parser))
+        yield from _decode(open_chunks(), _ConfigBuilder(parser))
         endpoints, addresses = parser.result(cached=True)
         reader.adopt(parser, endpoints)
     return Config(
@@ -165,11 +165,11 @@
     )
 
 
-def _decode(pieces: Iterable[bytes], builder: _ConfigBuilder) -> Generator[None, None, None]:
-    """Send the JSON events of a file to the builder, yielding after each piece."""
+def _decode(chunks: Iterable[bytes], builder: _ConfigBuilder) -> Generator[None, None, None]:
+    """Send the JSON events of a file to the builder, yielding after each chunk."""
     decoder = IncrementalJson(builder)
-    for piece in pieces:
-        decoder.feed(piece)
+    for chunk in chunks:
+        decoder.feed(chunk)
         yield
     decoder.finish()
 
@@ -248,7 +248,9 @@
     return idle_ms / 1000
 
 
-def _endpoint_list_reader(raw_settings: JsonObject, settings: Settings) -> EndpointListReader:
+def _create_endpoint_list_reader(
+    raw_settings: JsonObject, settings: Settings
+) -> EndpointListReader:
     return EndpointListReader(
         raw_settings.get("zones", ()),
         raw_settings.get("machine_types", ()),
--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -87,7 +87,7 @@
             timeout_s = settings.counter_timeout_ms / 1000
             self.counter = CounterClient(config.counter, timeout_s, self._handle)
         self._clock = Clock()
-        self._requests = RequestRecorder(self.recorder, self._clock)
+        self._request_recorder = RequestRecorder(self.recorder, self._clock)
         self._gateway = Gateway(settings, config.seed)
         self._load_reports = LoadReportReader(settings.report_fields)
         self._max_units = settings.max_units
@@ -130,7 +130,7 @@
             arrival.request, request, response, deadline=now + arrival.time_left_ms
         )
         self._pending[pending.number] = pending
-        self._requests.record_accepted(pending, draining=self._drain_deadline < inf)
+        self._request_recorder.record_accepted(pending, draining=self._drain_deadline < inf)
         self._handle(arrival)
         if pending.number in self._pending:
             self._set_deadline_timer(pending, arrival.time_left_ms)
@@ -144,7 +144,7 @@
     def cancel_request(self, pending: ProxiedRequest) -> None:
         """Drop a request whose client has gone."""
         if self._remove_pending(pending):
-            self._requests.record_cancelled(pending)
+            self._request_recorder.record_cancelled(pending)
             self._handle(RequestCancelled(pending.number))
             self._cancel_remaining(pending)
 
@@ -166,7 +166,7 @@
             if pending.deadline > self._drain_deadline:
                 pending.deadline = self._drain_deadline
                 self._set_deadline_timer(pending, schedule.respond_within_ms)
-            self._requests.record_pending_in_drain(pending)
+            self._request_recorder.record_pending_in_drain(pending)
         return schedule
 
     def check_drained(self) -> None:
@@ -186,7 +186,7 @@
         if response is not None:
             if served:
                 self._remove_pending(pending)
-                self._requests.record_concluded(pending, 200, "served")
+                self._request_recorder.record_concluded(pending, 200, "served")
                 pending.response.send(200, response.body, forwarded_headers(response))
                 billed_units = response.headers.get(b"billed-units", b"")
                 units = read_billed_units(billed_units, self._max_units)
@@ -215,7 +215,7 @@
     ) -> None:
         attempt.outcome = outcome
         elapsed_ms = self._clock.now() - attempt.started_at_ms
-        self._requests.record_attempt_ended(pending, attempt, outcome, elapsed_ms)
+        self._request_recorder.record_attempt_ended(pending, attempt, outcome, elapsed_ms)
         self._handle(
             AttemptEnded(
                 pending.number,
@@ -284,7 +284,7 @@
             pending.request.retryable,
         )
         pending.attempts.append(attempt)
-        self._requests.record_attempt_started(pending, attempt, action.reason)
+        self._request_recorder.record_attempt_started(pending, attempt, action.reason)
         if self._may_write(attempt):
             self.backends.start(attempt)
 
@@ -307,7 +307,7 @@
         if attempt.ended:
             return False
         reason = self._gateway.write_obstacle(self._clock.now(), pending.number, attempt.index)
-        if reason is None and not attempt.retryable and pending.has_other_execution(attempt):
+        if reason is None and not attempt.retryable and pending.other_attempt_may_have_run(attempt):
             # not asked of the gateway: a fault in what it knows must not run the request twice
             reason = NotSentReason.SECOND_COPY
             self.recorder.record_violation("second_execution", pending.request.id)
@@ -317,7 +317,7 @@
             self.recorder.record_violation("forgotten_by_policy", pending.request.id)
             self._respond(pending, 500, "internal_error")
             return False
-        self._requests.record_attempt_skipped(pending, attempt, reason)
+        self._request_recorder.record_attempt_skipped(pending, attempt, reason)
         self.backends.skip(attempt)
         return False
 
@@ -326,7 +326,7 @@
     ) -> None:
         """Send the final response of the ingress itself, unless there has been one."""
         if self._remove_pending(pending):
-            self._requests.record_concluded(pending, status, reason)
+            self._request_recorder.record_concluded(pending, status, reason)
             pending.response.send(status, b"", headers)
             self._cancel_remaining(pending)
 
--- a/sumacpost/pending_request.py
+++ b/sumacpost/pending_request.py
@@ -35,6 +35,6 @@
     attempts: list[Attempt] = field(default_factory=list)
     timer: Timer | None = None
 
-    def has_other_execution(self, attempt: Attempt) -> bool:
+    def other_attempt_may_have_run(self, attempt: Attempt) -> bool:
         """Return whether another attempt has been written that may have run, or may yet."""
         return any(other is not attempt and other.may_have_run for other in self.attempts)
--- a/sumacpost/service.py
+++ b/sumacpost/service.py
@@ -186,17 +186,17 @@
         self._path = ""
         self._requested = False
         self._reading: asyncio.Task[None] | None = None
-        signal.signal(signal.SIGHUP, lambda *_: self.request())
+        signal.signal(signal.SIGHUP, lambda *_: self.request_reload())
 
     def attach(self, service: Service, path: str) -> None:
         """Reload the file at `path` into `service` from now on. To be called on the event loop."""
         self._service = service
         self._path = path
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.request)
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.request_reload)
         if self._requested:
-            self.request()
+            self.request_reload()
 
-    def request(self) -> None:
+    def request_reload(self) -> None:
         """Read the file now, instead of a reading under way, or as soon as there is a service."""
         self._requested = self._service is None
         if self._service is None:
--- a/sumacpost/settings_json.py
+++ b/sumacpost/settings_json.py
@@ -22,7 +22,7 @@
     The names of classes and plans stay as clients send them: on the simulator's wire a space or a
     comma in a name becomes an underscore.
     """
-    settings = parse_settings("\n".join(flatten(raw)))
+    settings = parse_settings("\n".join(flatten_settings(raw)))
     classes = tuple(
         replace(request_class, name=str(item.get("name", "")))
         for request_class, item in zip(settings.classes, raw["categories"], strict=True)
@@ -34,22 +34,22 @@
     return replace(settings, classes=classes, plans=plans)
 
 
-def flatten(value: object, path: str = "") -> Iterator[str]:
+def flatten_settings(value: object, path: str = "") -> Iterator[str]:
     """Yield nested settings as the `path=value` lines that `parse_settings` reads."""
     match value:
         case dict():
             for key, item in value.items():
-                yield from flatten(item, f"{path}.{key}" if path else str(key))
+                yield from flatten_settings(item, f"{path}.{key}" if path else str(key))
         case list() if _is_object_list(value, path):
             yield f"{path}.count={len(value)}"
             for number, item in enumerate(value):
-                yield from flatten(item, f"{path}.{number}")
+                yield from flatten_settings(item, f"{path}.{number}")
         case list():
-            yield f"{path}=" + ",".join(_plain(item) for item in value)
+            yield f"{path}=" + ",".join(_format_scalar(item) for item in value)
         case None:
             pass
         case _:
-            yield f"{path}={_plain(value)}"
+            yield f"{path}={_format_scalar(value)}"
 
 
 def _is_object_list(value: list[object], path: str) -> bool:
@@ -58,7 +58,7 @@
     return any(isinstance(item, dict) for item in value)
 
 
-def _plain(value: object) -> str:
+def _format_scalar(value: object) -> str:
     """Return a scalar as the simulator writes it: booleans in lower case, no space or comma."""
     if isinstance(value, bool):
         return str(value).lower()
--- a/sumacpost/settings_text.py
+++ b/sumacpost/settings_text.py
@@ -20,14 +20,14 @@
 }
 
 # The keys of those fields that the model itself checks.
-_CLASS_KEYS = {
+_CLASS_KEY_BY_FIELD = {
     "latency_objective_ms": "aim",
     "deadline_ms": "hard_limit",
     "priority_weight": "points",
     "deduplication_window_ms": "dedup_window",
     "late_priority_weight": "late_worth",
 }
-_PLAN_KEYS = {
+_PLAN_KEY_BY_FIELD = {
     "rate": "per_second",
     "burst": "peak_units",
     "open_limit": "at_once",
@@ -101,7 +101,7 @@
         return [_SettingsReader(self._values, self.path(f"{key}.{i}.")) for i in range(count)]
 
     @contextmanager
-    def naming_keys(self, keys: Mapping[str, str]) -> Iterator[None]:
+    def translating_errors(self, keys: Mapping[str, str]) -> Iterator[None]:
         """Turn a SettingsError into a CodecError that names the key, as the operators wrote it."""
         try:
             yield
@@ -122,7 +122,7 @@
 
 def _parse_class(reader: _SettingsReader) -> RequestClass:
     idempotency = reader.idempotency("idempotency")
-    with reader.naming_keys(_CLASS_KEYS):
+    with reader.translating_errors(_CLASS_KEY_BY_FIELD):
         return RequestClass(
             latency_objective_ms=reader.number("aim"),
             deadline_ms=reader.number("hard_limit"),
@@ -136,7 +136,7 @@
 
 
 def _parse_plan(reader: _SettingsReader) -> Plan:
-    with reader.naming_keys(_PLAN_KEYS):
+    with reader.translating_errors(_PLAN_KEY_BY_FIELD):
         return Plan(
             rate=reader.number("per_second"),
             burst=reader.number("peak_units"),
--- a/sumacpost/simulator/codec.py
+++ b/sumacpost/simulator/codec.py
@@ -47,7 +47,7 @@
 from sumacpost.simulator import records
 from sumacpost.simulator.records import ActionCode, EventCode
 
-Member = TypeVar("Member", bound=IntEnum)
+EnumMember = TypeVar("EnumMember", bound=IntEnum)
 
 PORT_BITS = 16
 PORT_MASK = 0xFFFF
@@ -85,14 +85,14 @@
     return fixed, items
 
 
-def _number(value: float, field: str, minimum: float = 0.0) -> float:
+def _checked_number(value: float, field: str, minimum: float = 0.0) -> float:
     """Return the value; CodecError unless it is finite and not below the minimum."""
     if not (math.isfinite(value) and value >= minimum):
         raise CodecError(f"{field}: {value!r} is not a finite number of at least {minimum:g}")
     return value
 
 
-def _member(kind: type[Member], value: int, field: str) -> Member:
+def _enum_member(kind: type[EnumMember], value: int, field: str) -> EnumMember:
     """Return the member of an enumeration that has this value."""
     try:
         return kind(value)
@@ -100,11 +100,11 @@
         raise CodecError(f"{field}: {value!r} is unknown") from None
 
 
-def _report(data: bytes, field: str) -> tuple[float, ...]:
+def _report_values(data: bytes, field: str) -> tuple[float, ...]:
     """Return the values of a load report."""
     values: tuple[float, ...] = struct.unpack(f"<{len(data) // records.REPORT_VALUE_SIZE}f", data)
     for value in values:
-        _number(value, field, -math.inf)
+        _checked_number(value, field, -math.inf)
     return values
 
 
@@ -121,15 +121,15 @@
         entries.append(
             Endpoint(
                 _backend_id(address, port),
-                _member(EndpointStatus, status, "VIEW availability"),
+                _enum_member(EndpointStatus, status, "VIEW availability"),
                 zone,
                 kind,
                 cell,
-                _number(size, "VIEW size"),
-                _number(up_since, "VIEW up_since"),
+                _checked_number(size, "VIEW size"),
+                _checked_number(up_since, "VIEW up_since"),
             )
         )
-    return EndpointListUpdate(_member(UpdateKind, form, "VIEW form"), entries, serial)
+    return EndpointListUpdate(_enum_member(UpdateKind, form, "VIEW form"), entries, serial)
 
 
 def _read_accept(fields: bytes) -> RequestArrived:
@@ -141,10 +141,10 @@
         customer=customer,
         plan=plan,
         request_class=request_class,
-        units=_number(units, "ACCEPT price_units"),
-        first_gateway=int(_number(first, "ACCEPT set_from")),
-        gateway_spread=int(_number(width, "ACCEPT width", 1)),
-        time_left_ms=_number(time_left, "ACCEPT time_left"),
+        units=_checked_number(units, "ACCEPT price_units"),
+        first_gateway=int(_checked_number(first, "ACCEPT set_from")),
+        gateway_spread=int(_checked_number(width, "ACCEPT width", 1)),
+        time_left_ms=_checked_number(time_left, "ACCEPT time_left"),
         retry=bool(bits & records.RETRY_BIT),
     )
 
@@ -152,7 +152,7 @@
 def _read_begun(fields: bytes) -> ResponseStarted:
     _, request, attempt, address, port, spent = _unpack_fixed(records.BEGUN, fields, "BEGUN")
     return ResponseStarted(
-        request, attempt, _backend_id(address, port), _number(spent, "BEGUN spent")
+        request, attempt, _backend_id(address, port), _checked_number(spent, "BEGUN spent")
     )
 
 
@@ -165,13 +165,13 @@
         request=request,
         attempt=attempt,
         backend=_backend_id(address, port),
-        outcome=_member(Outcome, verdict, "COMPLETED verdict"),
-        elapsed_ms=_number(spent, "COMPLETED spent"),
+        outcome=_enum_member(Outcome, verdict, "COMPLETED verdict"),
+        elapsed_ms=_checked_number(spent, "COMPLETED spent"),
         concluded=bool(over),
         # The wire has the percentage plus 1, as 0 stands for an absent one.
         quota_used_percent=used - 1.0 if used else None,
         actual_units=float(units),
-        report=_report(items, "COMPLETED telemetry"),
+        report=_report_values(items, "COMPLETED telemetry"),
     )
 
 
@@ -192,9 +192,9 @@
     _, address, port, verdict, spent, _ = fixed
     return HealthCheckEnded(
         _backend_id(address, port),
-        _member(Outcome, verdict, "STATUS_BACK verdict"),
-        _number(spent, "STATUS_BACK spent"),
-        _report(items, "STATUS_BACK telemetry"),
+        _enum_member(Outcome, verdict, "STATUS_BACK verdict"),
+        _checked_number(spent, "STATUS_BACK spent"),
+        _report_values(items, "STATUS_BACK telemetry"),
     )
 
 
@@ -206,10 +206,10 @@
 
 def _read_ledger_reply(fields: bytes) -> CounterReplied:
     _, name, verdict, spent, reading = _unpack_fixed(records.LEDGER_REPLY, fields, "LEDGER_REPLY")
-    outcome = _member(Outcome, verdict, "LEDGER_REPLY verdict")
+    outcome = _enum_member(Outcome, verdict, "LEDGER_REPLY verdict")
     if outcome is Outcome.OK:
-        _number(reading, "LEDGER_REPLY reading", -math.inf)
-    return CounterReplied(name, outcome, _number(spent, "LEDGER_REPLY spent"), reading)
+        _checked_number(reading, "LEDGER_REPLY reading", -math.inf)
+    return CounterReplied(name, outcome, _checked_number(spent, "LEDGER_REPLY spent"), reading)
 
 
 _READERS: dict[int, Callable[[bytes], Event]] = {
--- a/tests/diagnostics/test_event_recorder.py
+++ b/tests/diagnostics/test_event_recorder.py
@@ -21,7 +21,7 @@
     assert next(event.subject for event in recorder._latest) == b"5"
 
 
-def test_events_are_logged_as_they_come_only_where_that_is_asked_for(
+def test_events_are_logged_immediately_only_if_live_logging_is_on(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -35,7 +35,7 @@
     assert len(caplog.messages) == 3
 
 
-def test_a_request_leaves_its_transitions_with_their_reasons(
+def test_the_transitions_of_a_request_are_recorded_with_their_reasons(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
--- a/tests/diagnostics/test_log_stream.py
+++ b/tests/diagnostics/test_log_stream.py
@@ -23,7 +23,7 @@
             os.close(descriptor)
 
 
-def fill(writer: int) -> None:
+def fill_pipe(writer: int) -> None:
     """Fill the pipe to the last byte."""
     size = 4096
     while size:
@@ -33,7 +33,7 @@
             size //= 2
 
 
-def empty(reader: int) -> None:
+def drain_pipe(reader: int) -> None:
     """Read all that stands in the pipe."""
     os.set_blocking(reader, False)
     with contextlib.suppress(BlockingIOError):
@@ -47,23 +47,23 @@
     assert os.read(reader, 100).endswith(b" INFO line 7\n")
 
 
-def test_lines_that_a_full_pipe_does_not_take_are_dropped_and_counted(
+def test_lines_are_dropped_and_counted_while_the_pipe_is_full(
     pipe: tuple[int, int],
 ) -> None:
     reader, writer = pipe
     handler = DroppingLogHandler(writer)
-    fill(writer)
+    fill_pipe(writer)
     for _ in range(3):
         handler.emit(RECORD)
     assert handler.dropped == 3
-    empty(reader)
+    drain_pipe(reader)
     handler.emit(RECORD)
     assert os.read(reader, 200).endswith(b"line 7\nlog lines dropped: count=3\n")
     assert handler.dropped == 0
 
 
 @pytest.mark.parametrize("closed", ["reader", "writer"])
-def test_a_stream_that_is_closed_ends_nothing(pipe: tuple[int, int], closed: str) -> None:
+def test_a_closed_stream_raises_no_error(pipe: tuple[int, int], closed: str) -> None:
     reader, writer = pipe
     handler = DroppingLogHandler(writer)
     os.close(reader if closed == "reader" else writer)
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -66,7 +66,7 @@
         (batch(provision(), record(WITHDRAWN, INSTANCE_3 + bytes(9))), "WITHDRAWN"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data: bytes, message: str) -> None:
+def test_malformed_input_exits_with_a_one_line_message(data: bytes, message: str) -> None:
     done = run_adapter(data)
     assert done.returncode == 2
     text = done.stderr.decode()
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -94,7 +94,7 @@
         (SendPeerMessage(2, b"x"), "60040b0000000300000002000000010078"),
     ],
 )
-def test_an_action_without_a_documented_example_is_written_as_the_page_lays_it_out(
+def test_an_action_without_a_documented_example_has_the_documented_layout(
     action: Action, written: str
 ) -> None:
     assert codec.write_action(3, action).hex() == written
--- a/tests/test_attempt_rules.py
+++ b/tests/test_attempt_rules.py
@@ -15,16 +15,16 @@
 from tests.support.ingress import RunningIngress, connect_beyond_bound, running_ingress
 from tests.support.peers import OK_RESPONSE, never_respond, respond
 
-HELD_S = 0.2
+DELAY_S = 0.2
 
 
-def told_timeout_s(data: bytes) -> float:
+def forwarded_timeout_s(data: bytes) -> float:
     match = re.search(rb"Request-Timeout: ([\d.]+)", data)
     assert match is not None
     return float(match[1])
 
 
-def test_the_time_left_is_that_at_the_writing_not_at_the_choice(
+def test_the_forwarded_timeout_is_computed_when_the_attempt_is_written(
     connection_gate: ConnectionGate,
 ) -> None:
     """A backend was told up to the connect time-out too much; 0.15 s are allowed."""
@@ -34,15 +34,15 @@
             client = await ingress.client()
             client.write(request(Request_Timeout="1.000"))
             await until(lambda: connection_gate.arrived == 1)
-            await asyncio.sleep(HELD_S)
+            await asyncio.sleep(DELAY_S)
             connection_gate.open()
             assert (await client.read_response()).status == 200
-            assert told_timeout_s(ingress.backends[0].requests[0]) <= 1.0 - HELD_S
+            assert forwarded_timeout_s(ingress.backends[0].requests[0]) <= 1.0 - DELAY_S
 
     run(test())
 
 
-def drain_backend(ingress: RunningIngress, state: EndpointStatus) -> None:
+def set_backend_state(ingress: RunningIngress, state: EndpointStatus) -> None:
     """Change the state of the only backend in the policy alone, as if its pool had not heard."""
     (backend,) = ingress.gateway.endpoints.backends
     entry = Endpoint(backend, state)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.GONE])
-def test_an_attempt_is_not_written_to_a_backend_that_is_not_ready_any_more(
+def test_an_attempt_is_not_written_to_a_backend_that_is_no_longer_ready(
     connection_gate: ConnectionGate, state: EndpointStatus
 ) -> None:
     async def test() -> None:
@@ -58,7 +58,7 @@
             client = await ingress.client()
             client.write(request())
             await until(lambda: connection_gate.arrived == 1)
-            drain_backend(ingress, state)
+            set_backend_state(ingress, state)
             connection_gate.open()
             assert (await client.read_response()).status == 429
             assert not ingress.backends[0].requests
@@ -81,9 +81,9 @@
             (pending,) = ingress.bridge._pending.values()
             (attempt,) = pending.attempts
             attempt.written = True  # as if the first attempt had run, unknown to the policy
-            (known,) = ingress.gateway.pending.values()
-            known.in_flight.clear()
-            known.tried.append(known.tried[0])
+            (policy_request,) = ingress.gateway.pending.values()
+            policy_request.in_flight.clear()
+            policy_request.tried.append(policy_request.tried[0])
             ingress.bridge._execute_action(Send(pending.number, attempt.backend))
             assert ingress.bridge.recorder.violation_count == 1
             assert ingress.bridge.recorder.counts[EventKind.VIOLATION, "second_execution"] == 1
@@ -92,13 +92,13 @@
     run(test())
 
 
-def test_the_time_that_a_request_stood_in_the_listen_queue_is_taken_off() -> None:
+def test_time_in_the_listen_queue_is_subtracted_from_the_forwarded_timeout() -> None:
     """No place is free for its client; it is read long after it has come."""
 
     async def test() -> None:
         async with running_ingress(*[never_respond] * 8, sockets=64) as ingress:
             late = await connect_beyond_bound(ingress)
-            await asyncio.sleep(HELD_S)
+            await asyncio.sleep(DELAY_S)
             for backend in ingress.backends:
                 backend.script = respond()
             ingress.backends[0].writers[0].write(OK_RESPONSE)
@@ -109,6 +109,6 @@
                 for request in backend.requests
                 if b"%016x" % 50 in request
             ]
-            assert told_timeout_s(data) <= 60.0 - HELD_S
+            assert forwarded_timeout_s(data) <= 60.0 - DELAY_S
 
     run(test())
--- a/tests/test_hold_up.py
+++ b/tests/test_blocked_event_loop.py
@@ -33,11 +33,11 @@
 )
 
 TIMEOUT = "0.400"  # of requests, in seconds
-HOLD_UP_S = 0.45
+BLOCK_S = 0.45
 UNBOUNDED_RESPONSE = b"HTTP/1.1 200 OK\r\n\r\ndone"
 
 
-async def hold_up(seconds: float, during: Callable[[], None]) -> None:
+async def block_event_loop(seconds: float, during: Callable[[], None]) -> None:
     """Block the loop for a time, in the midst of which something happens elsewhere.
 
     The loop is blocked as it reads its sockets, so that its next step is to run its timers; a
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("request_class", ["ledger-read", "payment-book", "vat-filing"])
 @pytest.mark.parametrize(("response", "close"), [(OK_RESPONSE, False), (UNBOUNDED_RESPONSE, True)])
-def test_a_response_that_came_before_the_deadline_is_forwarded_after_it(
+def test_a_response_received_before_the_deadline_is_forwarded_after_it(
     request_class: str, response: bytes, close: bool
 ) -> None:
     async def test() -> None:
@@ -81,25 +81,25 @@
             client = await ingress.client()
             client.write(request(request_class, Request_Timeout=TIMEOUT))
             await ingress.wait_for_requests(1)
-            await hold_up(HOLD_UP_S, write(ingress.backends[0], response, close))
+            await block_event_loop(BLOCK_S, write(ingress.backends[0], response, close))
             assert (await client.read_response()).status == 200
 
     run(test())
 
 
-def test_a_request_without_a_response_is_concluded_after_the_hold_up() -> None:
+def test_a_request_without_a_response_fails_after_the_block() -> None:
     async def test() -> None:
         async with running_ingress(never_respond) as ingress:
             client = await ingress.client()
             client.write(request("vat-filing", Request_Timeout=TIMEOUT))
             await ingress.wait_for_requests(1)
-            await hold_up(HOLD_UP_S, lambda: None)
+            await block_event_loop(BLOCK_S, lambda: None)
             assert (await client.read_response()).status == 502
 
     run(test())
 
 
-def test_no_hedged_request_follows_a_response_that_came_in_the_hold_up() -> None:
+def test_no_hedged_request_follows_a_response_received_during_the_block() -> None:
     async def test() -> None:
         async with running_ingress(never_respond, never_respond) as ingress:
             ingress.gateway.estimate.unit_ms = [5.0] * 3
@@ -109,7 +109,7 @@
             await ingress.wait_for_requests(1)
             (asked,) = [peer for peer in ingress.backends if peer.requests]
             (pending,) = ingress.bridge._pending.values()
-            await hold_up(overdue_after_s(ingress) + 0.1, write(asked, OK_RESPONSE))
+            await block_event_loop(overdue_after_s(ingress) + 0.1, write(asked, OK_RESPONSE))
             assert (await client.read_response()).status == 200
             assert len(pending.attempts) == 1
 
@@ -123,15 +123,15 @@
     return (attempt.overdue_at - attempt.sent_at) / 1000
 
 
-def test_a_response_whose_rest_came_in_the_hold_up_has_not_stalled() -> None:
+def test_a_response_completed_during_the_block_has_not_stalled() -> None:
     async def test() -> None:
         async with running_ingress(half_response) as ingress:
             client = await ingress.client()
             client.write(request("vat-filing", Request_Timeout=LONG_TIMEOUT))
             await ingress.wait_for_requests(1)
-            await until(lambda: response_has_begun(ingress))
+            await until(lambda: response_has_started(ingress))
             rest = write(ingress.backends[0], OK_RESPONSE[10:])
-            await hold_up(RESPONSE_STALL_TIMEOUT_S + 0.1, rest)
+            await block_event_loop(RESPONSE_STALL_TIMEOUT_S + 0.1, rest)
             assert (await client.read_response()).status == 200
 
     run(test())
@@ -142,25 +142,25 @@
     writer.write(OK_RESPONSE[:10])
 
 
-def response_has_begun(ingress: RunningIngress) -> bool:
+def response_has_started(ingress: RunningIngress) -> bool:
     """Return whether the ingress has read the begin of the response to its one request."""
     (pending,) = ingress.bridge._pending.values()
     connection = pending.attempts[0].connection
     return isinstance(connection, BackendConnection) and connection._stall_timer is not None
 
 
-def test_replies_of_the_counter_that_came_in_the_hold_up_count() -> None:
+def test_counter_replies_received_during_the_block_are_used() -> None:
     async def test() -> None:
         async with scripted_counter(never_respond, timeout_s=0.1) as (peer, recorded):
             recorded.client.call(7, 2.0, 1000.0)
             await until(lambda: len(peer.requests) == 1)
-            await hold_up(0.2, write(peer, b"$1\r\n2\r\n"))
+            await block_event_loop(0.2, write(peer, b"$1\r\n2\r\n"))
             assert await recorded.outcomes(1) == [(7, Outcome.OK, 2.0)]
 
     run(test())
 
 
-class LateLoop(asyncio.SelectorEventLoop):
+class DelayedConnectLoop(asyncio.SelectorEventLoop):
     """A loop that sees a connection come up only long after its timers have run."""
 
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
@@ -169,11 +169,11 @@
         await asyncio.sleep(60)
 
 
-def test_a_connection_that_came_up_in_the_hold_up_is_used() -> None:
+def test_a_connection_established_during_the_block_is_used() -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
             outcomes = Outcomes(peer.port)
             assert (await outcomes.outcome())[0] is Outcome.OK
 
-    with asyncio.Runner(loop_factory=LateLoop) as runner:
+    with asyncio.Runner(loop_factory=DelayedConnectLoop) as runner:
         runner.run(test())
--- a/tests/test_closed_streams.py
+++ b/tests/test_closed_streams.py
@@ -25,7 +25,9 @@
 
 
 @pytest.mark.parametrize("closed", ["2>&-", "0<&-", "1>&-", "0<&- 1>&- 2>&-"])
-def test_a_process_with_closed_streams_serves_and_ends_well(closed: str, tmp_path: Path) -> None:
+def test_a_process_with_closed_streams_serves_and_exits_cleanly(
+    closed: str, tmp_path: Path
+) -> None:
     async def test() -> None:
         reserved = reserve_port()  # kept bound, so that no other test gets the port
         port = reserved.getsockname()[1]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 
 from sumacpost.config import read_config
 from sumacpost.errors import ConfigError
-from sumacpost.settings_json import flatten
+from sumacpost.settings_json import flatten_settings
 from sumacpost.settings_text import parse_settings
 from tests.support.configuration import MINIMAL_CONFIG, SETTINGS
 from tests.support.paths import ROOT
@@ -28,7 +28,7 @@
         "h": None,
         "plans": [],
     }
-    assert list(flatten(settings)) == [
+    assert list(flatten_settings(settings)) == [
         "a.b=true",
         "a.c=1.5",
         "d.count=2",
@@ -40,8 +40,8 @@
     ]
 
 
-def test_flattened_settings_are_those_of_the_file() -> None:
-    settings = parse_settings("\n".join(flatten(SETTINGS)))
+def test_flattened_settings_parse_to_the_values_of_the_file() -> None:
+    settings = parse_settings("\n".join(flatten_settings(SETTINGS)))
     assert [c.name for c in settings.classes] == ["ledger-read", "payment-book", "vat-filing"]
     assert settings.clients_mark_retries
     assert settings.plans[1].rate == 100
@@ -61,7 +61,7 @@
         ({"known": {"rev": 1}}, "targets"),
     ],
 )
-def test_error_names_what_is_wrong(change: dict[str, Any], message: str) -> None:
+def test_error_names_the_invalid_value(change: dict[str, Any], message: str) -> None:
     with pytest.raises(ConfigError, match=message):
         read_config(json.dumps(MINIMAL_CONFIG | change))
 
@@ -96,13 +96,13 @@
         {"dial_timeout": "soon"},
     ],
 )
-def test_time_outs_have_to_be_positive_and_finite(permissions: dict[str, Any]) -> None:
+def test_timeouts_must_be_positive_and_finite(permissions: dict[str, Any]) -> None:
     settings = SETTINGS | {"permissions": SETTINGS["permissions"] | permissions}
     with pytest.raises(ConfigError):
         read_config(json.dumps(MINIMAL_CONFIG | {"settings": settings}))
 
 
-def test_longest_response_follows_the_memory_limit() -> None:
+def test_max_response_size_is_proportional_to_the_memory_limit() -> None:
     def max_response_bytes(memory_mb: int) -> int:
         limits = {"limits": {"memory_mb": memory_mb}}
         return read_config(json.dumps(MINIMAL_CONFIG | limits)).max_response_bytes
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -24,7 +24,7 @@
     assert not reader.response_started
 
 
-def test_bytes_behind_a_complete_response_end_the_reuse_of_its_connection(
+def test_bytes_after_a_complete_response_prevent_connection_reuse(
     reader: ResponseReader,
 ) -> None:
     response = reader.feed(RESPONSE + RESPONSE)
@@ -78,7 +78,7 @@
         RESPONSE,
     ],
 )
-def test_the_end_of_the_connection_completes_no_other_response(
+def test_the_connection_end_completes_no_response_with_another_framing(
     reader: ResponseReader, incomplete: bytes
 ) -> None:
     reader.feed(incomplete)
@@ -91,7 +91,7 @@
         reader.feed(b"x")
 
 
-def test_the_pieces_of_a_good_body_go_to_the_callback() -> None:
+def test_the_parts_of_a_200_body_are_passed_to_the_callback() -> None:
     pieces: list[bytes] = []
     reader = ResponseReader(max_body=16, on_body=pieces.append)
     assert reader.feed(RESPONSE[:-2]) is None
@@ -101,14 +101,14 @@
     assert pieces == [b"do", b"ne"]
 
 
-def test_the_body_of_an_error_does_not_go_to_the_callback() -> None:
+def test_the_body_of_an_error_response_is_not_passed_to_the_callback() -> None:
     pieces: list[bytes] = []
     reader = ResponseReader(max_body=16, on_body=pieces.append)
     assert reader.feed(RESPONSE.replace(b"200 OK", b"500 NO")) is not None
     assert pieces == []
 
 
-def test_what_the_callback_raises_makes_the_response_invalid() -> None:
+def test_an_exception_of_the_callback_makes_the_response_invalid() -> None:
     def reject(_: bytes) -> None:
         raise ValueError("not a list")
 
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -30,7 +30,7 @@
     assert "ZeroDivisionError" in caplog.text
 
 
-def test_action_that_cannot_be_carried_out_is_an_error_in_the_log(
+def test_unsupported_action_is_logged_as_an_error(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -61,7 +61,7 @@
     run(test())
 
 
-def test_id_of_a_pending_request_is_rejected_and_never_forwarded() -> None:
+def test_duplicate_id_of_a_pending_request_is_rejected_and_not_forwarded() -> None:
     async def test() -> None:
         async with running_ingress(never_respond) as ingress:
             (backend,) = ingress.backends
@@ -88,7 +88,7 @@
         "units=2,spread=2,first=7",
     ],
 )
-def test_impossible_quota_figures_change_no_estimate(quota: str) -> None:
+def test_invalid_quota_info_leaves_estimates_unchanged(quota: str) -> None:
     plan = {
         "name": "plus",
         "per_second": 0.01,
@@ -122,7 +122,7 @@
         ("", 2.0),
     ],
 )
-def test_billed_units_count_only_if_a_request_can_cost_as_much(
+def test_billed_units_are_used_only_up_to_the_largest_request(
     billed_units: str, counted_units: float
 ) -> None:
     async def test() -> None:
@@ -143,17 +143,19 @@
     run(test())
 
 
-def test_counter_reply_is_waited_for_past_the_stated_timeout() -> None:
+def test_counter_reply_is_awaited_beyond_the_configured_timeout() -> None:
     """The calls of a fleet queue at the counter: taken for lost, they admitted work over quota."""
 
-    async def exhausted_quota_late(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
+    async def report_exhausted_quota_late(
+        peer: Peer, call: bytes, writer: asyncio.StreamWriter
+    ) -> None:
         await asyncio.sleep(0.6)
         writer.write(b"$4\r\n1000\r\n")  # others have used the whole quota
 
     async def test() -> None:
         settings = {"extra": SETTINGS["extra"] | {"count_wait": 500.0}}
         async with running_ingress(
-            respond(), counter=exhausted_quota_late, settings=settings
+            respond(), counter=report_exhausted_quota_late, settings=settings
         ) as ingress:
             response = await ingress.send(
                 request(
--- a/tests/test_start_shortage.py
+++ b/tests/test_listen_shortage.py
@@ -25,57 +25,59 @@
 
 
 def fail_to_listen(monkeypatch: pytest.MonkeyPatch, error: int, times: int) -> list[int]:
-    """Let listening fail so many times; return a list that holds the errors that came."""
-    came: list[int] = []
+    """Let listening fail so many times; return a list of the errors that it has raised."""
+    raised_errors: list[int] = []
     create_server = socket.create_server
 
     def create(*args: Any, **options: Any) -> socket.socket:
-        if len(came) < times:
-            came.append(error)
+        if len(raised_errors) < times:
+            raised_errors.append(error)
             raise OSError(error, os.strerror(error))
         return create_server(*args, **options)
 
     monkeypatch.setattr(socket, "create_server", create)
-    return came
+    return raised_errors
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_a_shortage_at_the_start_is_waited_out(monkeypatch: pytest.MonkeyPatch, error: int) -> None:
+def test_listening_is_retried_during_a_resource_shortage(
+    monkeypatch: pytest.MonkeyPatch, error: int
+) -> None:
     async def test() -> None:
-        came = fail_to_listen(monkeypatch, error, 3)
+        raised_errors = fail_to_listen(monkeypatch, error, 3)
         async with running_ingress(respond()) as ingress:
-            assert came == [error] * 3
+            assert raised_errors == [error] * 3
             assert (await ingress.send(request())).status == 200
 
     run(test())
 
 
-def test_an_address_of_no_use_ends_the_process_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unusable_address_fails_without_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        came = fail_to_listen(monkeypatch, errno.EADDRINUSE, 2)
+        raised_errors = fail_to_listen(monkeypatch, errno.EADDRINUSE, 2)
         with pytest.raises(OSError, match="in use"):
             await serve(minimal_config(), asyncio.Event())
-        assert len(came) == 1
+        assert len(raised_errors) == 1
 
     run(test())
 
 
-def test_a_process_that_is_told_to_end_waits_for_no_shortage(
+def test_a_stop_request_ends_the_retries_of_listening(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        came = fail_to_listen(monkeypatch, errno.ENFILE, 10_000)
-        starting = asyncio.create_task(start_and_stop(came))
+        raised_errors = fail_to_listen(monkeypatch, errno.ENFILE, 10_000)
+        starting = asyncio.create_task(start_and_stop(raised_errors))
         await asyncio.wait_for(starting, 10)
 
     run(test())
 
 
-async def start_and_stop(came: list[int]) -> None:
+async def start_and_stop(raised_errors: list[int]) -> None:
     """Start an ingress that can't listen, and tell it to end."""
     stop = asyncio.Event()
     serving = asyncio.create_task(serve(minimal_config(), stop))
-    await until(lambda: len(came) > 1)
+    await until(lambda: len(raised_errors) > 1)
     stop.set()
     await serving
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Case:
+class RestartCase:
     """How one process is restarted, and what it finds then."""
 
     number: int
@@ -49,7 +49,7 @@
 
 
 CASES = [
-    Case(number, fault, stale_list)
+    RestartCase(number, fault, stale_list)
     for number, (stale_list, fault) in enumerate(
         (stale_list, fault) for stale_list in (True, False) for fault in ["", *FAULTS, "refused"]
     )
@@ -76,10 +76,10 @@
     await peer.listen_again()
 
 
-class Restart:
+class RestartScenario:
     """One process among its peers, which is ended and started again."""
 
-    def __init__(self, case: Case, backend: Peer, log: Path) -> None:
+    def __init__(self, case: RestartCase, backend: Peer, log: Path) -> None:
         self.case = case
         self.backend = backend
         self.log = log
@@ -162,11 +162,11 @@
     async def test() -> None:
         backend = Peer(respond())
         await backend.start()
-        turns = asyncio.Semaphore(2)
+        concurrency_limit = asyncio.Semaphore(2)
 
-        async def is_ready_in_time(case: Case) -> bool:
-            async with turns:
-                return await Restart(case, backend, logs[case]).is_ready_in_time()
+        async def is_ready_in_time(case: RestartCase) -> bool:
+            async with concurrency_limit:
+                return await RestartScenario(case, backend, logs[case]).is_ready_in_time()
 
         ready = await asyncio.gather(*(is_ready_in_time(case) for case in CASES))
         late = [case for case, in_time in zip(CASES, ready, strict=True) if not in_time]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -175,7 +175,9 @@
 
 
 @pytest.mark.usefixtures("restored_sighup")
-def test_sighup_before_there_is_a_service_is_remembered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sighup_before_the_service_exists_causes_a_reload_later(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     reloaded: list[str] = []
 
     class RecordingService:
@@ -197,7 +199,7 @@
     assert reloaded == ["the file"]
 
 
-def test_stop_during_the_start_opens_no_listener(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stop_during_startup_opens_no_listener(monkeypatch: pytest.MonkeyPatch) -> None:
     """SIGTERM comes while the first connection to the counter is attempted."""
     attempts: list[asyncio.Event] = []
 
@@ -245,7 +247,7 @@
     run(test())
 
 
-def test_a_reload_that_fails_by_a_fault_of_the_program_is_logged(
+def test_an_internal_error_during_a_reload_is_logged(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, tmp_path: Path
 ) -> None:
     config_file = tmp_path / "config.json"
@@ -259,7 +261,7 @@
             monkeypatch.setattr(ingress.service, "reload", fail)
             reloader = ConfigReloader()
             reloader.attach(ingress.service, str(config_file))
-            reloader.request()
+            reloader.request_reload()
             await until(lambda: "configuration reload failed" in caplog.text)
             assert (await ingress.send(request())).status == 200
 
@@ -270,7 +272,7 @@
         signal.signal(signal.SIGHUP, handler)
 
 
-def test_signals_that_come_as_the_program_ends_do_not_end_it_otherwise(tmp_path: Path) -> None:
+def test_signals_during_exit_do_not_change_the_exit_status(tmp_path: Path) -> None:
     """The event loop gives SIGHUP its default action back before the interpreter has ended."""
     config_file = tmp_path / "config.json"
     config_file.write_text(json.dumps(MINIMAL_CONFIG))
--- a/tests/test_settings_text.py
+++ b/tests/test_settings_text.py
@@ -44,6 +44,6 @@
         ("balancers=3", "oops", "line 1"),
     ],
 )
-def test_a_bad_value_is_named(old: str, new: str, named: str) -> None:
+def test_an_invalid_value_is_named(old: str, new: str, named: str) -> None:
     with pytest.raises(ValueError, match=named):
         parse_settings(SETTINGS_TEXT.replace(old, new))
