--- a/sumacpost/config.py
+++ b/sumacpost/config.py
@@ -22,7 +22,7 @@
     EndpointListParser,
     EndpointListReader,
 )
-from sumacpost.discovery.incremental_json import IncrementalJson, JsonEvent
+from sumacpost.discovery.incremental_json import IncrementalJsonDecoder, JsonEvent
 from sumacpost.errors import ConfigError
 from sumacpost.http1 import MAX_BODY
 from sumacpost.model import DeduplicationScope, EndpointListUpdate, Settings, UpdateKind
@@ -167,7 +167,7 @@
 
 def _decode(chunks: Iterable[bytes], builder: _ConfigBuilder) -> Generator[None, None, None]:
     """Send the JSON events of a file to the builder, yielding after each chunk."""
-    decoder = IncrementalJson(builder)
+    decoder = IncrementalJsonDecoder(builder)
     for chunk in chunks:
         decoder.feed(chunk)
         yield
