--- a/sumacpost/config.py
+++ b/sumacpost/config.py
@@ -24,7 +24,7 @@
 )
 from sumacpost.discovery.incremental_json import IncrementalJsonDecoder, JsonEvent
 from sumacpost.errors import ConfigError
-from sumacpost.http1 import MAX_BODY
+from sumacpost.http1 import MAX_BODY_BYTES
 from sumacpost.model import DeduplicationScope, EndpointListUpdate, Settings, UpdateKind
 from sumacpost.settings_json import parse_settings_json
 
@@ -238,7 +238,7 @@
     if not MIN_MEMORY_MB <= memory_mb < MAX_MEMORY_MB:
         raise ConfigError(f"limits.memory_mb: {memory_mb:g} is below {MIN_MEMORY_MB}")
     buffer_bytes = int(memory_mb * 1024 * 1024 / MAX_BUFFERED_RESPONSES)
-    return _Limits(sockets, max(MAX_BODY, buffer_bytes))
+    return _Limits(sockets, max(MAX_BODY_BYTES, buffer_bytes))
 
 
 def _parse_idle_timeout_s(permissions: JsonObject) -> float:
--- a/sumacpost/diagnostics/event_recorder.py
+++ b/sumacpost/diagnostics/event_recorder.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-KEPT_EVENTS = 512  # of a busy ingress, a second or two; some 200 KB
+MAX_KEPT_EVENTS = 512  # of a busy ingress, a second or two; some 200 KB
 
 
 class EventKind(Enum):
@@ -72,7 +72,7 @@
     def __init__(self) -> None:
         self.logs_live = False
         self.counts: Counter[tuple[EventKind, str]] = Counter()
-        self._latest: deque[RecordedEvent] = deque(maxlen=KEPT_EVENTS)
+        self._recent: deque[RecordedEvent] = deque(maxlen=MAX_KEPT_EVENTS)
 
     def record(
         self, kind: EventKind, reason: str, subject: object, detail: str = "", *values: object
@@ -80,7 +80,7 @@
         """Count and keep an event, and log it if events are logged live."""
         event = RecordedEvent(time.monotonic(), kind, reason, subject, detail, values)
         self.counts[kind, reason] += 1
-        self._latest.append(event)
+        self._recent.append(event)
         if self.logs_live:
             log.info("%s", event)
 
@@ -90,7 +90,7 @@
         """Record that a rule has been broken, or would have been, by a fault of the program."""
         self.record(EventKind.VIOLATION, rule, subject, detail, *values)
         log.error("rule violated: subject=%s rule=%s " + detail, subject, rule, *values)
-        self.log_history(subject)
+        self.log_events_of(subject)
 
     @property
     def violation_count(self) -> int:
@@ -98,15 +98,15 @@
         counts = self.counts.items()
         return sum(count for (kind, _), count in counts if kind is EventKind.VIOLATION)
 
-    def log_history(self, subject: object) -> None:
+    def log_events_of(self, subject: object) -> None:
         """Log the kept events of one subject, as a request has ended that should not have."""
-        for event in self._latest:
+        for event in self._recent:
             if event.subject == subject:
                 _log_with_age(event)
 
-    def log_latest(self) -> None:
+    def log_recent_events(self) -> None:
         """Log all kept events, and the counts."""
-        for event in self._latest:
+        for event in self._recent:
             _log_with_age(event)
         self.log_counts()
 
--- a/sumacpost/http1.py
+++ b/sumacpost/http1.py
@@ -9,9 +9,9 @@
 
 from sumacpost.errors import ResponseError
 
-MAX_BODY = 64 * 1024  # bytes: the protocol's bound on a body
+MAX_BODY_BYTES = 64 * 1024  # bytes: the protocol's bound on a body
 # Bytes of a request line or status line with its headers; those of interim responses count too.
-MAX_HEAD = 16 * 1024
+MAX_HEAD_BYTES = 16 * 1024
 MAX_CONTENT_LENGTH_DIGITS = 12
 
 HTTP_OK = 200
@@ -88,8 +88,8 @@
         if response is not None:
             self._complete = None
             self._head_size = 0
-        elif not self._headers_done and self._head_size > MAX_HEAD:
-            raise ResponseError(f"a head of over {MAX_HEAD} bytes")
+        elif not self._headers_done and self._head_size > MAX_HEAD_BYTES:
+            raise ResponseError(f"a head of over {MAX_HEAD_BYTES} bytes")
         return response
 
     def feed_eof(self) -> Response | None:
--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -169,7 +169,7 @@
             self._request_recorder.record_pending_in_drain(pending)
         return schedule
 
-    def check_drained(self) -> None:
+    def record_unanswered_requests(self) -> None:
         """Record a violation for each request that is left without a response at the end."""
         for pending in self._pending.values():
             self.recorder.record_violation("unanswered_at_end", pending.request.id)
--- a/sumacpost/server/connection.py
+++ b/sumacpost/server/connection.py
@@ -12,7 +12,7 @@
 
 from sumacpost.diagnostics.event_recorder import EventKind
 from sumacpost.errors import RequestError
-from sumacpost.http1 import MAX_BODY, MAX_HEAD
+from sumacpost.http1 import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from sumacpost.policy.connection_rules import (
     CloseObstacle,
     ConnectionFacts,
@@ -29,7 +29,7 @@
 # Responses pending on one connection, before further input is buffered unread.
 MAX_PIPELINED = 8
 # Input buffered so, which is one more request of any size; beyond it the connection ends.
-MAX_UNREAD_BYTES = MAX_HEAD + MAX_BODY
+MAX_UNREAD_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES
 
 
 class ConnectionState(Enum):
@@ -234,7 +234,7 @@
 
     def _write(self, head: bytes, body: bytes, is_last: bool) -> None:
         head += b"\r\nConnection: close\r\n\r\n" if is_last else b"\r\n\r\n"
-        if len(body) > MAX_BODY:
+        if len(body) > MAX_BODY_BYTES:
             self._transport.write(head)
             self._transport.write(body)  # not copied, as it may be large
         else:
--- a/sumacpost/server/request_reader.py
+++ b/sumacpost/server/request_reader.py
@@ -8,9 +8,9 @@
 import httptools
 
 from sumacpost.errors import RequestError
-from sumacpost.http1 import MAX_BODY, MAX_HEAD
+from sumacpost.http1 import MAX_BODY_BYTES, MAX_HEAD_BYTES
 
-MAX_MESSAGE_BYTES = 8 * MAX_BODY  # of one message in all, with its chunk framing
+MAX_MESSAGE_BYTES = 8 * MAX_BODY_BYTES  # of one message in all, with its chunk framing
 MAX_LENGTH_DIGITS = 12  # of a Content-Length header
 
 
@@ -63,7 +63,7 @@
             return  # a request like any other, after which its connection ends
         except httptools.HttpParserError as error:
             raise _request_error(error) from None
-        if self._in_head and self.incomplete_bytes > MAX_HEAD:
+        if self._in_head and self.incomplete_bytes > MAX_HEAD_BYTES:
             raise RequestError(431, "the head is too long")
         if self.incomplete_bytes > MAX_MESSAGE_BYTES:
             raise RequestError(413, "the message is too long")
@@ -109,7 +109,7 @@
     def on_body(self, data: bytes) -> None:
         """Take a piece of the body."""
         self._body_size += len(data)
-        if self._body_size > MAX_BODY:
+        if self._body_size > MAX_BODY_BYTES:
             raise RequestError(413, "the body is too long")
         self._body.append(data)
 
@@ -138,5 +138,5 @@
 def _check_content_length(length: bytes) -> None:
     if not length.isdigit():
         raise RequestError(400, "the length is no number")
-    if len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY:
+    if len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
         raise RequestError(413, "the body is too long")
--- a/sumacpost/service.py
+++ b/sumacpost/service.py
@@ -96,7 +96,7 @@
         log.info("drain started")
         started_at = time.monotonic()
         await self._server.drain()
-        self._ingress.check_drained()
+        self._ingress.record_unanswered_requests()
         for task in (self._discovery_task, self._counter_task, maintenance_task):
             if task is not None:
                 task.stop()
@@ -104,9 +104,9 @@
         log.info("drain finished: elapsed_s=%.3f", time.monotonic() - started_at)
         self._ingress.recorder.log_counts()
 
-    def log_state(self) -> None:
+    def log_recent_events(self) -> None:
         """Log the latest events and the counts of all, for a look at a running ingress."""
-        self._ingress.recorder.log_latest()
+        self._ingress.recorder.log_recent_events()
 
     def toggle_event_log(self) -> None:
         """Begin or end to log each event as it comes, outside a drain too."""
@@ -244,7 +244,7 @@
 
     def attach(service: Service) -> None:
         reloader.attach(service, path)
-        loop.add_signal_handler(signal.SIGUSR1, service.log_state)
+        loop.add_signal_handler(signal.SIGUSR1, service.log_recent_events)
         loop.add_signal_handler(signal.SIGUSR2, service.toggle_event_log)
 
     await serve(config, stop, attach)
--- a/sumacpost/upstream/pool_manager.py
+++ b/sumacpost/upstream/pool_manager.py
@@ -7,7 +7,7 @@
 
 from sumacpost.address import Address
 from sumacpost.diagnostics.event_recorder import EventRecorder
-from sumacpost.http1 import MAX_BODY
+from sumacpost.http1 import MAX_BODY_BYTES
 from sumacpost.model import (
     BackendId,
     EndpointListUpdate,
@@ -41,7 +41,7 @@
         connect_timeout_s: float,
         backend_idle_timeout_s: float,
         on_attempt_ended: AttemptEndedCallback,
-        max_body_bytes: int = MAX_BODY,
+        max_body_bytes: int = MAX_BODY_BYTES,
         may_write: Callable[[Attempt], bool] = _always_permitted,
         recorder: EventRecorder | None = None,
     ) -> None:
--- a/tests/diagnostics/test_event_recorder.py
+++ b/tests/diagnostics/test_event_recorder.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sumacpost.diagnostics.event_recorder import KEPT_EVENTS, EventKind, EventRecorder
+from sumacpost.diagnostics.event_recorder import MAX_KEPT_EVENTS, EventKind, EventRecorder
 from tests.support.event_loop import run
 from tests.support.http_client import request
 from tests.support.ingress import running_ingress
@@ -15,10 +15,10 @@
 
 def test_the_latest_events_are_kept_and_all_are_counted() -> None:
     recorder = EventRecorder()
-    for number in range(KEPT_EVENTS + 5):
+    for number in range(MAX_KEPT_EVENTS + 5):
         recorder.record(EventKind.REQUEST_ACCEPTED, "serving", b"%d" % number)
-    assert recorder.counts[EventKind.REQUEST_ACCEPTED, "serving"] == KEPT_EVENTS + 5
-    assert next(event.subject for event in recorder._latest) == b"5"
+    assert recorder.counts[EventKind.REQUEST_ACCEPTED, "serving"] == MAX_KEPT_EVENTS + 5
+    assert next(event.subject for event in recorder._recent) == b"5"
 
 
 def test_events_are_logged_immediately_only_if_live_logging_is_on(
@@ -31,7 +31,7 @@
     recorder.logs_live = True
     recorder.record(EventKind.ATTEMPT_ENDED, "ok", b"a1", "attempt=%d", 1)
     assert caplog.messages == ["attempt ended: subject=a1 reason=ok attempt=1"]
-    recorder.log_history(b"a1")
+    recorder.log_events_of(b"a1")
     assert len(caplog.messages) == 3
 
 
@@ -52,7 +52,7 @@
             assert counts[EventKind.ATTEMPT_STARTED, "retry"] == 1
             assert counts[EventKind.ATTEMPT_ENDED, "error"] == 2
             assert counts[EventKind.REQUEST_CONCLUDED, "no_backend"] == 1
-            ingress.service.log_state()
+            ingress.service.log_recent_events()
 
     run(test())
     text = "\n".join(caplog.messages)
--- a/tests/server/test_request_reader.py
+++ b/tests/server/test_request_reader.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sumacpost.errors import RequestError
-from sumacpost.http1 import MAX_BODY, MAX_HEAD
+from sumacpost.http1 import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from sumacpost.server.request_reader import MAX_MESSAGE_BYTES, RequestMessage, RequestReader
 from tests.support.http_client import request
 
@@ -72,10 +72,10 @@
     ("data", "status"),
     [
         (b"nonsense\r\n\r\n", 400),
-        (b"GET / HTTP/1.1\r\nX: " + b"x" * MAX_HEAD, 431),
+        (b"GET / HTTP/1.1\r\nX: " + b"x" * MAX_HEAD_BYTES, 431),
         (request(body="", Content_Length="5", Transfer_Encoding="chunked"), 400),
         (request(body="", Content_Length=None, Transfer_Encoding="gzip"), 400),
-        (request(body="", Content_Length=str(MAX_BODY + 1)), 413),
+        (request(body="", Content_Length=str(MAX_BODY_BYTES + 1)), 413),
         (
             request(body="", Content_Length=None, Transfer_Encoding="chunked")
             + b"1;"
--- a/tests/server/test_requests.py
+++ b/tests/server/test_requests.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sumacpost.http1 import MAX_BODY
+from sumacpost.http1 import MAX_BODY_BYTES
 from tests.support.configuration import SETTINGS
 from tests.support.event_loop import run
 from tests.support.http_client import HEALTH_REQUEST, request
@@ -51,7 +51,7 @@
         (request("payment-book", Idempotency_Key=None), 400),
         (request(Idempotency_Key="5c"), 400),
         (request().replace(b"Plan: plus", b"Plan: plus\r\nPlan: basis"), 400),
-        (request(body="x" * (MAX_BODY + 1)), 413),
+        (request(body="x" * (MAX_BODY_BYTES + 1)), 413),
         (
             request(body="", Content_Length=None, Transfer_Encoding="chunked")
             + b"1\r\nx\r\n" * 90_000,
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize(
-    ("length", "status"), [(MAX_BODY + 1, 413), (60_000_000, 413), (10**30, 400)]
+    ("length", "status"), [(MAX_BODY_BYTES + 1, 413), (60_000_000, 413), (10**30, 400)]
 )
 def test_body_that_is_too_long_is_rejected_at_its_head(length: int, status: int) -> None:
     async def test() -> None:
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sumacpost.errors import ResponseError
-from sumacpost.http1 import MAX_HEAD, Response, ResponseReader
+from sumacpost.http1 import MAX_HEAD_BYTES, Response, ResponseReader
 
 RESPONSE = b"HTTP/1.1 200 OK\r\nX-Part: a\r\nX-Part: b\r\nContent-Length: 4\r\n\r\ndone"
 
@@ -35,7 +35,7 @@
 
 def test_the_heads_of_interim_responses_are_bounded_together(reader: ResponseReader) -> None:
     interim = b"HTTP/1.1 100 Continue\r\n\r\n"
-    for _ in range(MAX_HEAD // len(interim)):
+    for _ in range(MAX_HEAD_BYTES // len(interim)):
         assert reader.feed(interim) is None
     with pytest.raises(ResponseError, match="a head of over"):
         reader.feed(interim)
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sumacpost.http1 import MAX_BODY
+from sumacpost.http1 import MAX_BODY_BYTES
 from sumacpost.model import Outcome
 from tests.support.attempts import Outcomes
 from tests.support.event_loop import run
@@ -49,7 +49,7 @@
         (send_bytes(b"HTTP/1.1 200 OK\r\n\r\ndone"), Outcome.OK),
         (send_bytes(b"SSH-2.0-nonsense\r\n", close=False), Outcome.RESET),
         (send_bytes(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 70_000, close=False), Outcome.RESET),
-        (respond(b"x" * (MAX_BODY + 1)), Outcome.RESET),
+        (respond(b"x" * (MAX_BODY_BYTES + 1)), Outcome.RESET),
         (
             send_bytes(
                 b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", close=False
