--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -33,7 +33,7 @@
     SetTimer,
     TimerFired,
 )
-from sumacpost.pending_request import Headers, PendingResponse, ProxiedRequest
+from sumacpost.pending_request import Headers, ProxiedRequest, ResponseChannel
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.shutdown import ShutdownSchedule, shutdown_schedule
 from sumacpost.request_recorder import RequestRecorder
@@ -109,7 +109,7 @@
         self.backends.apply_update(update)
         self.ready = self.ready or bool(endpoints)
 
-    def start_request(self, request: Request, response: PendingResponse) -> ProxiedRequest:
+    def start_request(self, request: Request, response: ResponseChannel) -> ProxiedRequest:
         """Take a request; it gets its one final response before the client's deadline.
 
         Raise RequestError if a request of the same id is pending: backends would take the one for a
--- a/sumacpost/pending_request.py
+++ b/sumacpost/pending_request.py
@@ -12,7 +12,7 @@
 Headers = tuple[tuple[bytes, bytes], ...]
 
 
-class PendingResponse(Protocol):
+class ResponseChannel(Protocol):
     """The client's side of a request."""
 
     received_at: float  # monotonic seconds: when the last byte of the request was read
@@ -30,7 +30,7 @@
 
     number: int
     request: Request
-    response: PendingResponse
+    response: ResponseChannel
     deadline: float  # in milliseconds, by the ingress's clock
     attempts: list[Attempt] = field(default_factory=list)
     timer: Timer | None = None
