--- a/fleetlab/soak/backend.py
+++ b/fleetlab/soak/backend.py
@@ -1,4 +1,4 @@
-"""A backend that records each attempt and responds to it in ways that a schedule chooses."""
+"""A backend that records each attempt and responds with a behaviour that the fault plan selects."""
 
 from __future__ import annotations
 
@@ -19,26 +19,45 @@
     write_at_once,
 )
 
-BACKLOG_FILLERS = 4  # connections that fill a listener's queue of none
-MAX_SERVICE_TIME_S = 0.05  # of a request that meets no fault
-PIECE_PAUSE_S = 0.02  # between the pieces of a response in pieces
+BACKLOG_FILLERS = 4  # connections that fill the queue of a listener with a backlog of 0
+MAX_SERVICE_TIME_S = 0.05  # longest service time of a behaviour that is not late
+PIECE_PAUSE_S = 0.02  # pause between the two pieces of a response in pieces
 
 
 @dataclass(slots=True)
 class BackendState:
-    """What a schedule may change of a backend while it runs."""
+    """The properties of a backend that faults may change while it runs.
+
+    Attributes:
+        choose_behaviour: selects the behaviour for each attempt.
+        accept_delay_s: the delay before a new connection is read from, in seconds.
+        idle_timeout_s: the time after which an idle connection is closed or becomes stale.
+        idle_becomes_stale: whether an idle connection becomes stale at the time-out, that is, stays
+            open and is reset at its next request, instead of being closed.
+    """
 
     choose_behaviour: Chooser
-    accept_delay_s: float = 0.0  # before the bytes of a new connection are read
-    idle_timeout_s: float = 30.0  # after which an idle connection is closed, or forgotten
-    idle_becomes_stale: bool = (
-        False  # whether idle connections are reset at their next request instead
-    )
+    accept_delay_s: float = 0.0
+    idle_timeout_s: float = 30.0
+    idle_becomes_stale: bool = False
 
 
 @dataclass
 class SoakBackend:
-    """One backend on a loopback address; `attempts` holds all that it has received whole."""
+    """One backend on a loopback address.
+
+    Attributes:
+        uid: the uid in the endpoint list.
+        state: the properties that faults may change.
+        random: the generator of service times.
+        attempts: the list, shared by the backends of a run, to which completely received attempts
+            are appended.
+        incarnation: the number of restarts.
+        endpoint: the host and port that the backend listens on.
+        connections: the open connections.
+        unreachable: whether the backend is cut off: open connections are silent, and new ones are
+            not established.
+    """
 
     uid: str
     state: BackendState
@@ -47,13 +66,13 @@
     incarnation: int = 0
     endpoint: str = ""
     connections: dict[_Connection, None] = field(default_factory=dict)
-    unreachable: bool = False  # cut off: open connections say nothing, new ones never come up
+    unreachable: bool = False
     _server: asyncio.Server | None = None
     _backlog_sockets: list[socket.socket] = field(default_factory=list)
     _address: tuple[str, int] = ("127.0.0.1", 0)
 
     async def start(self) -> None:
-        """Listen: on a port of the system's choice the first time, on the same one later."""
+        """Listen on a port assigned by the system; after a stop, listen on the same port again."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self), *self._address, reuse_address=True
@@ -62,7 +81,7 @@
         self.endpoint = format_address(self._address)
 
     async def crash(self) -> None:
-        """Refuse connections and reset those that are open, as the end of a process does."""
+        """Refuse new connections and reset the open ones, as if the process had ended."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -70,9 +89,9 @@
             connection.reset()
 
     async def become_unreachable(self) -> None:
-        """Fall silent, as a machine that is cut off.
+        """Stop all communication, like a machine that is cut off from the network.
 
-        On loopback no packet gets lost; but a listener whose queue is full drops new connections.
+        No packets are lost on loopback, but a listener whose queue is full drops new connections.
         """
         if self._server is not None:
             self._server.close()
@@ -93,7 +112,7 @@
             self._backlog_sockets.append(filler)
 
     async def become_reachable(self) -> None:
-        """Come back: connections from before are reset, new ones come up."""
+        """Reset the connections from before the cut and accept new ones again."""
         self.unreachable = False
         for sock in self._backlog_sockets:
             sock.close()
@@ -103,19 +122,19 @@
         await self.start()
 
     async def stop(self) -> None:
-        """End for good."""
+        """Close all connections and sockets."""
         await self.crash()
         for sock in self._backlog_sockets:
             sock.close()
 
     async def restart(self) -> None:
-        """Listen again, as a new incarnation that remembers no request."""
+        """Listen again as a new incarnation, without memory of earlier requests."""
         self.incarnation += 1
         await self.start()
 
 
 class _Connection(asyncio.Protocol):
-    """One connection of an ingress; it carries one request at a time."""
+    """One connection from an ingress; it carries one request at a time."""
 
     def __init__(self, backend: SoakBackend) -> None:
         self._backend = backend
@@ -140,7 +159,7 @@
             self._transport.resume_reading()
 
     def _start_idle_timer(self) -> None:
-        """Wait for a request, for as long as an idle connection is kept."""
+        """Restart the time-out after which an idle connection is closed or becomes stale."""
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         self._idle_timer = asyncio.get_running_loop().call_later(
@@ -173,7 +192,7 @@
         self._start_attempt(headers)
 
     def _last_data_at(self) -> float:
-        """Return when the last bytes came, which the loop may have read later."""
+        """Return when the last bytes arrived; the event loop may have read them later."""
         return time.monotonic() - since_last_data_s(self._transport)
 
     def _start_attempt(self, headers: dict[bytes, bytes]) -> None:
@@ -234,7 +253,7 @@
                 self._serve(attempt, behaviour, body)
 
     def _serve(self, attempt: Attempt, behaviour: Behaviour, body: bytes) -> None:
-        """Write a good response, but for one without a length that a reset cuts short."""
+        """Write a valid response, or half of one without a length that is then reset."""
         attempt.body = body
         loop = asyncio.get_running_loop()
         half = len(body) // 2
@@ -277,14 +296,14 @@
         self._start_idle_timer()
 
     def stop_reading(self) -> None:
-        """Read and write nothing more."""
+        """Stop reading; responses in progress are not written while the backend is unreachable."""
         if self._attempt is not None:
             self._attempt.unobserved = True
         if not self._transport.is_closing():
             self._transport.pause_reading()
 
     def reset(self) -> None:
-        """End the connection with a reset."""
+        """Reset the connection."""
         reset_connection(self._transport)
 
     def connection_lost(self, _exc: Exception | None) -> None:
--- a/fleetlab/soak/behaviour.py
+++ b/fleetlab/soak/behaviour.py
@@ -1,4 +1,4 @@
-"""How a backend treats single attempts, and how often it does what."""
+"""The behaviours of a backend towards single attempts, and their probabilities."""
 
 from __future__ import annotations
 
@@ -8,22 +8,24 @@
 
 
 class Behaviour(Enum):
-    """How a backend treats one attempt."""
+    """The behaviour of a backend towards one attempt."""
 
     SERVE = "serve"
-    SLOW = "slow"  # served after half a second to a second and a half
-    HANG = "hang"  # no response, the connection stays open
-    ERROR = "error"  # 500
-    NOT_STARTED = "not_started"  # 503 with Not-Started: 1
-    UNBOUNDED = "unbounded"  # served with no length; the connection's end ends the response
-    UNBOUNDED_IN_PIECES = "unbounded_in_pieces"
+    SLOW = "slow"  # served after 0.5 to 1.5 s
+    HANG = "hang"  # no response, and the connection stays open
+    ERROR = "error"  # status 500
+    NOT_STARTED = "not_started"  # status 503 with Not-Started: 1
+    UNBOUNDED = (
+        "unbounded"  # served without a length; the close of the connection ends the response
+    )
+    UNBOUNDED_IN_PIECES = "unbounded_in_pieces"  # the same, written in two pieces
     UNBOUNDED_RESET = "unbounded_reset"  # no length, half of the body, then a reset
-    TRUNCATED = "truncated"  # less than the stated length, then the connection ends
-    RESET = "reset"  # a reset with no response
-    LATE_RESET = "late_reset"  # the same after half a second to a second and a half
-    NOISE = "noise"  # bytes that are no HTTP
-    IN_PIECES = "in_pieces"
-    SERVE_AND_CLOSE = "serve_and_close"  # Connection: close
+    TRUNCATED = "truncated"  # a body shorter than the stated length, then a close
+    RESET = "reset"  # a reset without a response
+    LATE_RESET = "late_reset"  # a reset without a response after 0.5 to 1.5 s
+    NOISE = "noise"  # bytes that are not HTTP
+    IN_PIECES = "in_pieces"  # served in two pieces
+    SERVE_AND_CLOSE = "serve_and_close"  # served with Connection: close
 
 
 UNBOUNDED = frozenset({Behaviour.UNBOUNDED, Behaviour.UNBOUNDED_IN_PIECES})
@@ -61,11 +63,11 @@
 
 
 def always(behaviour: Behaviour) -> Chooser:
-    """Return a chooser of one behaviour."""
+    """Return a chooser that always selects the same behaviour."""
     return lambda: behaviour
 
 
 def weighted(random: Random, weights: dict[Behaviour, float]) -> Chooser:
-    """Return a chooser that draws behaviours by weight."""
+    """Return a chooser that draws behaviours at random, with the given weights."""
     kinds = list(weights)
     return lambda: random.choices(kinds, list(weights.values()))[0]
--- a/fleetlab/soak/client.py
+++ b/fleetlab/soak/client.py
@@ -1,4 +1,4 @@
-"""A client's connection to an ingress; each request on it is recorded."""
+"""A client connection to an ingress that records its requests."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from fleetlab.soak.records import ClientRequest, Effect
 from fleetlab.stand_in import reset_connection, split_address
 
-MAX_LATENESS_S = 0.5  # after its time a response only earns nothing; later it is lost
-EXTRA_WAIT_S = 3.0  # for which a client waits on: when a lost response comes tells why
+MAX_LATENESS_S = 0.5  # a response that is later than this after its deadline counts as lost
+EXTRA_WAIT_S = 3.0  # further wait for a lost response: the time of its arrival shows the cause
 CONNECT_TIMEOUT_S = 2.0
 MAX_EXTRA_BYTES = 4096
 _HEAD_END = b"\r\n\r\n"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """What a client asks for."""
+    """One request that a client sends."""
 
     request_id: str
     class_name: str
@@ -33,7 +33,7 @@
     first: int = 0
 
     def encode(self) -> bytes:
-        """Return the request as it is written."""
+        """Return the bytes of the request."""
         body = b"" if self.effect is Effect.IDEMPOTENT else b"order " + self.request_id.encode()
         method = "GET" if self.effect is Effect.IDEMPOTENT else "POST"
         lines = [
@@ -53,7 +53,7 @@
 
 
 class ClientConnection:
-    """One connection; several requests may be sent before the responses are read."""
+    """One client connection; several requests may be sent before the responses are read."""
 
     def __init__(
         self,
@@ -63,19 +63,22 @@
         records: list[ClientRequest],
     ) -> None:
         self.ingress = ingress
-        self.open = True  # another request may be sent
+        self.open = True  # whether another request may be sent
         self._reader = reader
         self._writer = writer
         self._records = records
         self._last: ClientRequest | None = None
-        self._pending_responses = 0  # responses
+        self._pending_responses = 0
         self._idle_since = time.monotonic()
 
     @classmethod
     async def connect(
         cls, ingress: str, address: str, records: list[ClientRequest]
     ) -> ClientConnection:
-        """Connect to an ingress; OSError or TimeoutError if that fails."""
+        """Connect to an ingress.
+
+        Raise OSError or TimeoutError if that fails.
+        """
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*split_address(address))
         writer.transport.get_extra_info("socket").setsockopt(
@@ -84,11 +87,11 @@
         return cls(ingress, reader, writer, records)
 
     def is_closed(self) -> bool:
-        """Return whether the ingress has closed the connection, as far as is known here."""
+        """Return whether the connection is known to be closed at either end."""
         return not self.open or self._reader.at_eof() or self._writer.is_closing()
 
     async def send(self, spec: RequestSpec, pieces: int = 1, pause_s: float = 0.0) -> ClientRequest:
-        """Write a request, in so many pieces with pauses between, and record it."""
+        """Write a request in a number of pieces, with pauses between them, and record it."""
         await self._read_extra_bytes()
         record = ClientRequest(
             spec.request_id,
@@ -116,15 +119,15 @@
         return record
 
     async def _read_extra_bytes(self) -> None:
-        """Note what has come since the last response, if none is owed."""
+        """Record bytes that arrived since the last response, unless a response is pending."""
         if self._last is None or self._pending_responses:
             return
         with suppress(TimeoutError, ConnectionError):
-            async with asyncio.timeout(0):  # only for what has come already
+            async with asyncio.timeout(0):  # read only what has arrived already
                 self._last.extra_bytes = len(await self._reader.read(MAX_EXTRA_BYTES))
 
     async def receive(self, record: ClientRequest) -> None:
-        """Read the response to a request until long after its time."""
+        """Read the response to a request, and wait for it beyond its deadline."""
         assert record.sent_at is not None
         try:
             async with asyncio.timeout(record.timeout_s + MAX_LATENESS_S + EXTRA_WAIT_S):
@@ -148,7 +151,7 @@
                 self.close()
 
     async def leave(self, record: ClientRequest, after_s: float, reset: bool) -> None:
-        """Close the connection some time after a request, or read the response if it is earlier."""
+        """Close the connection after a time, unless the response is complete before."""
         receiving = asyncio.ensure_future(self.receive(record))
         await asyncio.wait([receiving], timeout=after_s)
         if receiving.done():
@@ -159,7 +162,7 @@
         self.close(reset)
 
     def close(self, reset: bool = False) -> None:
-        """Close the connection, by a FIN or a reset."""
+        """Close the connection with a FIN, or with a reset."""
         self.open = False
         if reset:
             reset_connection(cast(asyncio.Transport, self._writer.transport))
--- a/fleetlab/soak/endpoint_list.py
+++ b/fleetlab/soak/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list of a run, which all agents share, and the agent of one ingress."""
+"""The endpoint list that all agents of a run share, and the discovery agent of one ingress."""
 
 from __future__ import annotations
 
@@ -13,25 +13,23 @@
 from fleetlab.stand_in import StandInServer, reset_connection
 from fleetlab.versioned_list import JsonObject, VersionedList
 
-OLD_ADDRESS_CLOSE_DELAY_S = (
-    1.5  # after a new configuration, when the old address closes its connections
-)
-MAX_HOLD_S = 60.0
-FIRST_VERSION = 1  # of the list
+OLD_ADDRESS_CLOSE_DELAY_S = 1.5  # not used: see OLD_AGENT_CLOSE_DELAY_S in faults.py
+MAX_HOLD_S = 60.0  # longest time for which a poll is held open, regardless of its hold_ms
+FIRST_VERSION = 1  # version of the list before its first change
 
 
 class AgentFault(Enum):
-    """What an agent does with a poll, other than to respond."""
+    """How an agent fails to answer a poll."""
 
     NONE = "none"
-    SILENT = "silent"  # no response until the fault is over
-    RESET = "reset"  # each connection is reset
-    TORN = "torn"  # half of the response, then the end of the connection
+    SILENT = "silent"  # no response on this connection, even after the fault
+    RESET = "reset"  # connections are reset
+    TORN = "torn"  # half of the response, then a close
 
 
 @dataclass
 class SharedList:
-    """The list, its changes as they were made, and what wakes the agents' open polls."""
+    """The endpoint list, its changes in order, and an event that releases open polls."""
 
     entries: list[JsonObject]
     changes: list[ListChange] = field(default_factory=list)
@@ -50,36 +48,36 @@
         changed.set()
 
     def changes_since(self, version: int | None) -> list[ListChange]:
-        """Return the changes after a version of the list, each of which made one; None: all."""
+        """Return the changes since a version, or all for None; each change made one version."""
         return self.changes[0 if version is None else max(0, version - FIRST_VERSION) :]
 
 
 class SoakAgent(StandInServer):
-    """The agent of one ingress; it records when the ingress was told of each change."""
+    """The discovery agent of one ingress; it records when it sent each change to the ingress."""
 
     def __init__(self, ingress: str, shared: SharedList) -> None:
         super().__init__()
         self.ingress = ingress
         self.fault = AgentFault.NONE
-        self.unbounded = False  # whether responses have no length
+        self.unbounded = False  # whether responses have no stated length
         self.address = ""
         self._shared = shared
         self.notifications: list[ListChange] = []
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen at a new address."""
+        """Listen on a port assigned by the system."""
         self.address = await self._listen()
 
     def begin_fault(self, fault: AgentFault) -> None:
-        """Meet all polls with a fault; a reset is applied to the open connections at once."""
+        """Apply a fault to all polls from now on; RESET also resets all open connections."""
         self.fault = fault
         if fault is AgentFault.RESET:
             for writer in list(self._writers):
                 reset_connection(cast(asyncio.Transport, writer.transport))
 
     def schedule_stop(self) -> None:
-        """Close the port and all connections in the next turns of the loop."""
+        """Schedule the close of the port and all connections on the event loop."""
         self._closing = asyncio.ensure_future(self.stop())
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -113,7 +111,7 @@
         changes = None if known is None else self._shared.list.encode_changes(known)
         notified = self._shared.changes_since(known if changes is not None else None)
         body = changes if changes is not None else self._shared.list.encode_full()
-        # an ingress that has moved to a new agent has closed its end: it is told nothing here
+        # An ingress that has moved to a new agent has closed its end and is not notified here.
         if writer.transport.is_closing() or reader.at_eof():
             return False
         if self.fault is AgentFault.TORN:
--- a/fleetlab/soak/faults.py
+++ b/fleetlab/soak/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a plan on the processes, backends and agents of a run."""
+"""Injects the faults of a plan into the processes, backends and agents of a run."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 from fleetlab.soak.site import SoakSite
 from fleetlab.system_faults.control import SystemFault
 
-OLD_AGENT_CLOSE_DELAY_S = 1.5  # after SIGHUP
-CROWD_SIZE = 60
-STALE_AFTER_S = 0.1  # after which idle connections are forgotten
+OLD_AGENT_CLOSE_DELAY_S = 1.5  # time from SIGHUP to the close of the previous agent
+CROWD_SIZE = 60  # number of idle connections in a crowd
+STALE_AFTER_S = 0.1  # idle time after which connections become stale during BACKEND_FORGETS
 
 _COUNTER_FAULTS = {
     FaultKind.COUNTER_DELAYED: PathFault.DELAYED,
@@ -38,7 +38,7 @@
     FaultKind.COUNTER_RESET: PathFault.RESET,
     FaultKind.COUNTER_HALF_CLOSED: PathFault.HALF_CLOSED,
 }
-# Of the calls that fail while such a fault lasts.
+# The system fault of each kind, and the fraction of calls that fail while it lasts.
 _SYSTEM_FAULTS = {
     FaultKind.SYSTEM_ACCEPT: (SystemFault.ACCEPT, 0.3),
     FaultKind.SYSTEM_SOCKET: (SystemFault.SOCKET, 0.2),
@@ -58,18 +58,38 @@
 
 @dataclass
 class Node:
-    """An ingress with what is its own: its agent, its clients, and who may restart it."""
+    """An ingress with its agent and clients.
+
+    Attributes:
+        process: the process of the ingress.
+        agent: the present discovery agent.
+        population: the clients.
+        agents: all agents so far, including the present one.
+        lock: serializes restarts and reloads of the ingress.
+    """
 
     process: IngressProcess
     agent: SoakAgent
     population: Population
-    agents: list[SoakAgent] = field(default_factory=list)  # all so far
+    agents: list[SoakAgent] = field(default_factory=list)
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
 @dataclass
 class FaultInjector:
-    """Carries out faults, each as a task of its own."""
+    """Carries out faults, each in a task of its own.
+
+    Attributes:
+        site: the settings of the run.
+        nodes: the ingresses, by the target index of their faults.
+        backends: the backends, by the target index of their faults.
+        shared: the endpoint list.
+        record: where faults and backend starts are recorded.
+        random: the generator of delays and backend behaviours.
+        counter_path: the proxy before the counter, if there is a counter.
+        disrupted_backends: the indices of the backends that a fault has crashed, cut off or
+            begun to replace.
+    """
 
     site: SoakSite
     nodes: list[Node]
@@ -78,10 +98,10 @@
     record: RunRecord
     random: Random
     counter_path: PathProxy | None = None
-    disrupted_backends: set[int] = field(default_factory=set)  # that are away, or about to be
+    disrupted_backends: set[int] = field(default_factory=set)
 
     async def run(self, faults: tuple[PlannedFault, ...], started_at: float) -> None:
-        """Carry out all faults, each at its time; return when the last one is over."""
+        """Carry out all faults, each at its time; return when all have ended."""
         async with asyncio.TaskGroup() as tasks:
             for fault in faults:
                 tasks.create_task(self._run_fault(fault, started_at))
@@ -127,7 +147,7 @@
                     await self._reload(node, fault)
 
     async def _signal(self, process: IngressProcess, fault: PlannedFault) -> None:
-        """Send a series of signals, and SIGKILL as early after SIGTERM as it may come."""
+        """Send a series of signals, then SIGKILL at the earliest time after SIGTERM if needed."""
         terminated_at = None
         for name in fault.signals:
             process.send_signal(signal.Signals[name])
@@ -144,10 +164,10 @@
         try:
             await process.start()
         except (TimeoutError, RuntimeError):
-            await process.kill()  # its life has no time at which it was ready
+            await process.kill()  # its record has no ready_at, which the oracles report
 
     async def _reload(self, node: Node, fault: PlannedFault) -> None:
-        """Move the agent, each time anew for each of the signals."""
+        """Move the agent to a new address before each of the signals."""
         for name in fault.signals:
             old = node.agent
             node.agent = SoakAgent(node.process.name, self.shared)
@@ -212,7 +232,7 @@
         backend.state.choose_behaviour = weighted(self.random, NORMAL_WEIGHTS)
 
     async def _disrupt_backend(self, backend: SoakBackend, fault: PlannedFault) -> None:
-        """Let a backend crash, vanish or drain, unless it is away already."""
+        """Crash, cut off or replace a backend, unless such a fault is in progress there."""
         if fault.target in self.disrupted_backends:
             return
         self.disrupted_backends.add(fault.target)
@@ -230,7 +250,7 @@
         self.disrupted_backends.discard(fault.target)
 
     async def _replace(self, backend: SoakBackend, fault: PlannedFault) -> None:
-        """Drain a backend, remove it, and start it anew."""
+        """Drain a backend, remove it from the list, and restart it as a new incarnation."""
         self.shared.set_state(fault.target, "leaving")
         await asyncio.sleep(self.site.drain_grace_s + fault.seconds / 2)
         self.shared.set_state(fault.target, "left")
--- a/fleetlab/soak/ingress_process.py
+++ b/fleetlab/soak/ingress_process.py
@@ -1,4 +1,4 @@
-"""One ingress as a real process: its configuration, signals, health and log."""
+"""One ingress as a real process, with its configuration, signals, health check and log."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 class IngressProcess:
-    """An ingress that is started, signalled and started again at the same address.
+    """An ingress that is started, signalled and restarted at the same address.
 
     Attributes:
-        name: its name, the same in each life.
-        address: host and port where it serves clients.
-        config: its configuration file, as parsed JSON; written at each start and reload.
-        log_path: where all its lives write their log.
-        process_records: its processes so far, the present one last.
-        system_faults: which of its system calls fail; none do unless a fault says so.
+        name: the name of the ingress, the same for all its processes.
+        address: the host and port at which it serves clients.
+        config: the configuration file as parsed JSON, written at each start and reload.
+        log_path: the log file of all its processes.
+        process_records: the records of its processes so far, the current one last.
+        system_faults: the faults of its system calls and wall clock; none until one is set.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         folder: Path,
         library: Path | None = None,
     ) -> None:
-        """Set up an ingress; library: the one that can make system calls fail, to be loaded."""
+        """Set up an ingress; library: the system fault library to preload, if any."""
         self.name = name
         self.address = address
         self.config = config | {"name": name, "listen": address}
@@ -57,22 +57,25 @@
 
     @property
     def process_record(self) -> ProcessRecord:
-        """The present process, or the last one."""
+        """The record of the current process, or of the last one."""
         return self.process_records[-1]
 
     @property
     def running(self) -> bool:
-        """Whether there is a process that has not ended."""
+        """Whether there is a process that has not exited."""
         return self._process is not None and self._process.returncode is None
 
     def write_config(self) -> None:
-        """Replace the configuration file in one step."""
+        """Replace the configuration file atomically."""
         temporary = self._config_path.with_suffix(".new")
         temporary.write_text(json.dumps(self.config))
         temporary.replace(self._config_path)
 
     async def start(self) -> None:
-        """Start a process, and wait until it is ready; TimeoutError or RuntimeError if not."""
+        """Start a process and wait until it is ready.
+
+        Raise TimeoutError if it is not ready in time, RuntimeError if it exits before.
+        """
         self.write_config()
         with self.log_path.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
@@ -83,7 +86,7 @@
                 stdout=log,
                 stderr=log,
                 env=os.environ | self._environment,
-                start_new_session=True,  # an interrupt at the terminal is the soak's to handle
+                start_new_session=True,  # an interrupt at the terminal reaches the soak only
             )
         self.process_records.append(ProcessRecord(self.name, self._process.pid, time.monotonic()))
         await self._wait_until_ready()
@@ -93,14 +96,14 @@
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not await is_healthy(self.address):
                 if not self.running:
-                    raise RuntimeError(f"{self.name} ended before it was ready: {self.log_tail()}")
+                    raise RuntimeError(f"{self.name} exited before it was ready: {self.log_tail()}")
                 await asyncio.sleep(READY_POLL_S)
         await self._enable_event_log()
         process_record.descriptors_at_start = self.open_descriptors()
         process_record.ready_at = time.monotonic()
 
     async def _enable_event_log(self) -> None:
-        """Let the process log each event as it comes: the oracles read which requests it took."""
+        """Switch on the live event log, from which the oracles read the accepted requests."""
         began = len(self.log_text())
         self.send_signal(signal.SIGUSR2)
         async with asyncio.timeout(READY_TIMEOUT_S):
@@ -108,20 +111,20 @@
                 await asyncio.sleep(READY_POLL_S)
 
     def open_descriptors(self) -> int:
-        """Return how many descriptors the process has open; 0 if it has ended."""
+        """Return the number of open descriptors of the process, or 0 if it has exited."""
         try:
             return len(os.listdir(f"/proc/{self.process_record.pid}/fd"))
         except OSError:
             return 0
 
     def send_signal(self, signum: signal.Signals) -> None:
-        """Send a signal to the process if it still runs, and record it."""
+        """Send a signal to the process if it is running, and record it."""
         if self._process is not None and self.running:
             self.process_record.signals.append((signum.name, time.monotonic()))
             self._process.send_signal(signum)
 
     async def pause(self, seconds: float) -> None:
-        """Stop the process for a time, as a machine that is held up."""
+        """Stop the process for a time, like a machine that is paused."""
         self.send_signal(signal.SIGSTOP)
         try:
             await asyncio.sleep(seconds)
@@ -129,7 +132,7 @@
             self.send_signal(signal.SIGCONT)
 
     async def wait(self, timeout_s: float) -> bool:
-        """Wait for the end of the process; return whether it has ended."""
+        """Wait for the process to exit; return whether it has exited in time."""
         assert self._process is not None
         try:
             async with asyncio.timeout(timeout_s):
@@ -142,13 +145,13 @@
         return True
 
     async def terminate(self, kill_after_s: float) -> None:
-        """Send SIGTERM, and SIGKILL so long after it if the process has not ended by then."""
+        """Send SIGTERM, then SIGKILL if the process has not exited after a time."""
         self.send_signal(signal.SIGTERM)
         if not await self.wait(kill_after_s):
             await self.kill()
 
     async def kill(self) -> None:
-        """Send SIGKILL and wait for the end."""
+        """Send SIGKILL and wait for the process to exit."""
         if self._process is None:
             return
         if self.running:
@@ -156,16 +159,16 @@
         await self.wait(READY_TIMEOUT_S)
 
     def log_text(self) -> str:
-        """Return what all lives have logged."""
+        """Return the log of all processes of this ingress."""
         return self.log_path.read_text(errors="replace") if self.log_path.exists() else ""
 
     def log_tail(self) -> str:
-        """Return the end of the log."""
+        """Return the last 2000 characters of the log."""
         return self.log_text()[-2000:]
 
 
 async def is_healthy(address: str) -> bool:
-    """Return whether a health check on a new connection gets 200."""
+    """Return whether a health check on a new connection is answered with 200."""
     try:
         async with asyncio.timeout(HEALTH_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*split_address(address))
--- a/fleetlab/soak/planted_faults.py
+++ b/fleetlab/soak/planted_faults.py
@@ -1,4 +1,4 @@
-"""Plants known faults in copies of the program, and tells which of the soak's rules find them."""
+"""Plants known faults in copies of the program and reports which soak rules detect them."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class Edit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One change of the program.
+    """One text replacement in the program's source.
 
     Attributes:
-        file: which is changed, from the root of the repository.
-        old: the text that stands there once.
-        new: the text in its place.
+        file: the path of the file, relative to the root of the repository.
+        old: the text to replace, which occurs once in the file.
+        new: the replacement.
     """
 
     file: str
@@ -36,13 +36,13 @@
 
 
 class PlantedFault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A fault to be planted.
+    """A fault that can be planted in the program.
 
     Attributes:
-        name: what is wrong then.
-        rule: the rule of the soak that finds it.
-        seed: of a run that does.
-        edit: the changes that make it.
+        name: a description of the fault.
+        rule: the soak rule that detects the fault.
+        seed: the seed of a run that violates the rule.
+        edit: the text replacements that make the fault.
     """
 
     name: str
@@ -56,26 +56,34 @@
 
 
 class PlantingError(ValueError):
-    """The text that a fault replaces does not stand once in its file."""
+    """The text that a fault replaces does not occur exactly once in its file."""
 
 
 def read_planted_faults() -> list[PlantedFault]:
-    """Return the list; msgspec.ValidationError if it is none."""
+    """Return the list of planted faults.
+
+    Raise msgspec.ValidationError if the file does not match the expected structure.
+    """
     return msgspec.toml.decode(FAULTS_FILE.read_bytes(), type=_PlantedFaults).fault
 
 
 def plant(fault: PlantedFault, root: Path) -> None:
-    """Plant a fault in a copy of the program; PlantingError if its text is not there once."""
+    """Plant a fault in a copy of the program.
+
+    Raise PlantingError if a text to replace does not occur exactly once.
+    """
     for edit in fault.edit:
         path = root / edit.file
         text = path.read_text()
         if text.count(edit.old) != 1:
-            raise PlantingError(f"{fault.name}: {text.count(edit.old)} places in {edit.file}")
+            raise PlantingError(
+                f"{fault.name}: text to replace occurs {text.count(edit.old)} times in {edit.file}"
+            )
         path.write_text(text.replace(edit.old, edit.new))
 
 
 def run_planted(fault: PlantedFault) -> SoakResult:
-    """Run the soak on a copy of the program with a fault, and return what it found."""
+    """Run the soak on a copy of the program with a fault, and return its result."""
     with tempfile.TemporaryDirectory(prefix="planted-") as name:
         folder = Path(name)
         shutil.copytree(ROOT / PACKAGE, folder / PACKAGE)
@@ -84,18 +92,18 @@
         arguments = [str(word) for option in options.items() for word in option]
         subprocess.run(
             [sys.executable, "-m", "fleetlab", "soak", "--out", "out", *arguments],
-            cwd=folder,  # from where the copy is imported
+            cwd=folder,  # the copy in this folder is the one that is imported
             env=os.environ | {"PYTHONPATH": f"{folder}{os.pathsep}{ROOT}"},
             stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
-            check=False,  # it fails where it finds something
+            check=False,  # the command fails if it detects a violation
         )
         line = (folder / "out" / "soak.jsonl").read_bytes()
         return msgspec.json.decode(line, type=SoakResult)
 
 
 def run_all(name: str = "") -> Iterator[tuple[PlantedFault, dict[str, int]]]:
-    """Play each fault whose name contains a text; yield it and how often each rule was broken."""
+    """Run each fault whose name contains a text; yield it with its violations, counted by rule."""
     for fault in read_planted_faults():
         if name in fault.name:
             found: dict[str, int] = {}
--- a/fleetlab/soak/population.py
+++ b/fleetlab/soak/population.py
@@ -1,4 +1,4 @@
-"""The clients of one ingress: how each of them behaves is drawn at random."""
+"""The clients of one ingress, whose behaviour is drawn at random."""
 
 from __future__ import annotations
 
@@ -14,27 +14,36 @@
 from fleetlab.soak.site import SoakClass, SoakSite
 from fleetlab.stand_in import split_address
 
-CONNECT_AFTER_SIGTERM_S = 0.3  # after SIGTERM new connections keep coming for so long
-RECONNECT_DELAY_S = 0.1  # of a client that finds no ingress
-MAX_THINK_S = 0.25
-MAX_IDLE_S = 2.5
-RAMP_S = 1.5  # over which the clients begin
-MAX_PIPELINED = 4
-PIPELINE_DEPTH = 6  # requests under way on the connection of a client that pipelines all the time
+CONNECT_AFTER_SIGTERM_S = 0.3  # time after SIGTERM for which clients still open connections
+RECONNECT_DELAY_S = 0.1  # delay before a client that could not connect tries again
+MAX_THINK_S = 0.25  # longest pause of a client between two requests
+MAX_IDLE_S = 2.5  # longest idle time of a connection before a request of an idling client
+RAMP_S = 1.5  # time over which the clients start
+MAX_PIPELINED = 4  # most requests that an occasional pipelining client sends at once
+PIPELINE_DEPTH = 6  # requests in flight on the connection of a continuously pipelining client
 BAD_CLIENT_DEADLINE_S = 3.0
 BAD_CLIENT_WAIT_S = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class ClientMix:
-    """How often clients do what; chances of one request."""
+    """The probabilities of client behaviours, per request.
+
+    Attributes:
+        leave: the client closes the connection before the response.
+        reset: a client that leaves does so with a reset.
+        slow_writer: the client writes its request in pieces.
+        idle: the client leaves the connection idle before the request.
+        pipeline: the client sends several requests at once.
+        shorter_timeout: the client sets a shorter time-out than the deadline of the class.
+    """
 
     leave: float = 0.08
-    reset: float = 0.5  # of those that leave: by a reset
+    reset: float = 0.5
     slow_writer: float = 0.08
     idle: float = 0.1
     pipeline: float = 0.08
-    shorter_timeout: float = 0.3  # the client waits less than its class's deadline
+    shorter_timeout: float = 0.3
 
 
 class Population:
@@ -55,7 +64,7 @@
         self._mix = mix
 
     async def run_client(self, stop: asyncio.Event) -> None:
-        """Send requests one after another, on connections that are kept, until stopped."""
+        """Send requests one after another on persistent connections, until stopped."""
         connection: ClientConnection | None = None
         await asyncio.sleep(self._random.uniform(0.0, RAMP_S))
         while not stop.is_set():
@@ -73,7 +82,7 @@
             connection.close()
 
     async def _connect(self) -> ClientConnection | None:
-        """Connect if the front would still lead clients to the ingress."""
+        """Connect, if a load balancer before the ingress would still route clients to it."""
         process_record = self._process.process_record
         terminated_at = process_record.signalled_at("SIGTERM")
         elapsed_s = 0.0 if terminated_at is None else time.monotonic() - terminated_at
@@ -91,7 +100,7 @@
             return None
 
     async def _send_drawn_requests(self, connection: ClientConnection) -> None:
-        """Send one request, or several behind another, in one of the ways of the mix."""
+        """Send one request, or several pipelined ones, with a behaviour drawn from the mix."""
         draw = self._random.random()
         mix = self._mix
         if draw < mix.leave:
@@ -120,7 +129,7 @@
     async def _pipeline(self, connection: ClientConnection) -> None:
         """Send several requests at once.
 
-        All have the same time: a response can't come before that to the request ahead.
+        All have the same time-out, since a response cannot precede that of an earlier request.
         """
         records: list[ClientRequest] = []
         timeout_s = self._draw_request().timeout_s
@@ -136,7 +145,7 @@
             await connection.receive(record)
 
     async def run_pipelining_client(self, stop: asyncio.Event) -> None:
-        """Keep a request behind the last one on each connection, for as long as it is open."""
+        """Keep several requests in flight on one connection at a time, until stopped."""
         while not stop.is_set():
             connection = await self._connect()
             if connection is None:
@@ -179,7 +188,7 @@
     # ---- bad clients
 
     async def run_bad_clients(self, stop: asyncio.Event) -> None:
-        """Now and then a client sends half a request, or what is none, and stays."""
+        """Send an invalid or incomplete request on a new connection at random intervals."""
         while not stop.is_set():
             await asyncio.sleep(self._random.uniform(0.5, 2.0))
             kind, data = self._draw_bad_input()
@@ -229,7 +238,7 @@
         )
 
     async def open_idle_connections(self, size: int, seconds: float) -> None:
-        """Open so many connections that say nothing, and close them after a time."""
+        """Open a number of idle connections, and close them after a time."""
         writers = []
         try:
             for _ in range(size):
--- a/fleetlab/system_faults/__init__.py
+++ b/fleetlab/system_faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of system calls and of the wall clock in another process, by a library loaded into it."""
+"""Faults of system calls and the wall clock in another process, injected by a preloaded library."""
--- a/fleetlab/system_faults/control.py
+++ b/fleetlab/system_faults/control.py
@@ -1,4 +1,4 @@
-"""Which system calls of a process fail, and how often: a file that the process has mapped."""
+"""Controls which system calls of a process fail and how often, by a file that it has mapped."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from enum import IntEnum
 from pathlib import Path
 
-FULL_RATE = 1_000_000  # the rate of a fault that always comes
+FULL_RATE = 1_000_000  # the rate of a fault that always occurs
 
 
 class SystemFault(IntEnum):
-    """What may fail; the numbers are those of `enum fault_kind` in system_faults.c."""
+    """The faults; their numbers are those of `enum fault_kind` in system_faults.c."""
 
     ACCEPT = 0  # ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EPROTO or EINTR
     SOCKET = 1  # ENFILE, EMFILE, ENOBUFS or ENOMEM
     CONNECT = 2  # EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ENOBUFS, ETIMEDOUT, EAGAIN or EINTR
-    WAIT_INTERRUPTED = 3  # EINTR of a wait for events
-    SHORT_READ = 4  # of some bytes
-    SHORT_WRITE = 5  # of some bytes
-    BROKEN_CONNECTION = 6  # one that the process made: ETIMEDOUT, EHOSTUNREACH, ECONNRESET, ...
-    LOG_WRITE = 7  # to standard error: ENOSPC, EIO, EPIPE or EAGAIN
+    WAIT_INTERRUPTED = 3  # a wait for events fails with EINTR
+    SHORT_READ = 4  # at most 64 bytes
+    SHORT_WRITE = 5  # at most 64 bytes
+    BROKEN_CONNECTION = 6  # an outgoing connection fails: ETIMEDOUT, EHOSTUNREACH, ECONNRESET, ...
+    LOG_WRITE = 7  # writes to standard error fail: ENOSPC, EIO, EPIPE or EAGAIN
 
 
 _CLOCK_STEP = struct.Struct("=q")
@@ -31,7 +31,11 @@
 
 
 class SystemFaults:
-    """The faults of one process, which may be changed while it runs; they outlast a restart."""
+    """The faults of one process, which may be changed while it runs and survive its restart.
+
+    Attributes:
+        path: the control file, which the process maps.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -40,20 +44,20 @@
             self._memory = mmap.mmap(file.fileno(), _SIZE)
 
     def set_probability(self, fault: SystemFault, probability: float) -> None:
-        """Let calls fail with a probability from 0 to 1."""
+        """Set the probability, from 0 to 1, with which calls fail."""
         offset = _RATES_OFFSET + _UINT32.size * fault
         _UINT32.pack_into(self._memory, offset, round(probability * FULL_RATE))
 
     def step_clock(self, seconds: float) -> None:
-        """Set the wall clock forward, or back, by so much more."""
+        """Step the wall clock by a number of seconds, in addition to earlier steps."""
         (before_ns,) = _CLOCK_STEP.unpack_from(self._memory)
         _CLOCK_STEP.pack_into(self._memory, 0, before_ns + round(seconds * 1e9))
 
     def count_failed_calls(self, fault: SystemFault) -> int:
-        """Return how many calls have failed."""
+        """Return the number of calls to which a fault was applied."""
         (failed_calls,) = _UINT32.unpack_from(self._memory, _COUNTS_OFFSET + _UINT32.size * fault)
         return int(failed_calls)
 
     def close(self) -> None:
-        """Let go of the file; the process keeps the faults that it has."""
+        """Unmap the control file; the process keeps its present faults."""
         self._memory.close()
--- a/fleetlab/system_faults/library.py
+++ b/fleetlab/system_faults/library.py
@@ -1,4 +1,4 @@
-"""Builds the library that a process loads to have its system calls fail."""
+"""Builds the library that injects system call faults into the process that loads it."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 
 
 class MissingCompilerError(RuntimeError):
-    """There is no C compiler, without which there are no system faults."""
+    """There is no C compiler, which is needed for system faults."""
 
 
 def build_library(folder: Path) -> Path:
     """Compile the library into a folder and return its path.
 
-    Raise MissingCompilerError without a compiler, subprocess.CalledProcessError if that fails.
+    Raise MissingCompilerError without a compiler, subprocess.CalledProcessError if it fails.
     """
     compiler = os.environ.get("CC") or "cc"
     if shutil.which(compiler) is None:
-        raise MissingCompilerError(f"{compiler!r} is needed to build {SOURCE.name}")
+        raise MissingCompilerError(
+            f"C compiler {compiler!r} not found; it is needed to build {SOURCE.name}"
+        )
     library = folder / "system_faults.so"
     subprocess.run(
         [compiler, *_FLAGS, "-o", str(library), str(SOURCE), "-ldl"],
@@ -37,5 +39,5 @@
 
 
 def library_environment(library: Path, faults: SystemFaults) -> dict[str, str]:
-    """Return the variables with which a process loads the library and obeys these faults."""
+    """Return the environment variables for a process to load the library with these faults."""
     return {"LD_PRELOAD": str(library), CONTROL_VARIABLE: str(faults.path)}
--- a/fleetlab/system_faults/system_faults.c
+++ b/fleetlab/system_faults/system_faults.c
@@ -1,7 +1,7 @@
-/* Fails system calls of the process that loads it, at rates that another process may change.
+/* Makes system calls of the process that loads it fail, at rates that another process may change.
  *
- * Loaded by LD_PRELOAD. The file that SYSTEM_FAULTS_CONTROL names holds `struct control`; see
- * control.py, which writes it. Without that file every call goes through unchanged.
+ * Loaded by LD_PRELOAD. SYSTEM_FAULTS_CONTROL names a file that contains `struct control` and is
+ * written by control.py. Without that file all calls are passed through unchanged.
  */
 
 #define _GNU_SOURCE
@@ -18,7 +18,7 @@
 #include <time.h>
 #include <unistd.h>
 
-#define FULL_RATE 1000000u /* the rate of a fault that always comes */
+#define FULL_RATE 1000000u /* the rate of a fault that always occurs */
 #define MAX_DESCRIPTORS 65536
 #define MAX_SHORT_BYTES 64
 
@@ -36,14 +36,14 @@
 
 struct control {
     int64_t clock_step_ns;
-    uint32_t rates[KIND_COUNT]; /* in parts of FULL_RATE */
-    uint32_t counts[KIND_COUNT]; /* how often each came */
+    uint32_t rates[KIND_COUNT]; /* probability of each fault, in units of 1 / FULL_RATE */
+    uint32_t counts[KIND_COUNT]; /* number of occurrences of each fault */
 };
 
 static struct control no_faults;
 static struct control *control = &no_faults;
 static uint64_t random_state = 88172645463325252u;
-static char outgoing[MAX_DESCRIPTORS]; /* whether the process has made this connection itself */
+static char outgoing[MAX_DESCRIPTORS]; /* by descriptor: whether the process opened this connection */
 
 #define REAL(name) \
     ({ \
@@ -152,7 +152,7 @@
 int connect(int descriptor, const struct sockaddr *address, socklen_t size)
 {
     if (address->sa_family == AF_INET && should_fail(CONNECT)) {
-        if (draw(8) == 0) { /* interrupted, which leaves the connection in the making */
+        if (draw(8) == 0) { /* reports EINTR while the connection is being established */
             int result = REAL(connect)(descriptor, address, size);
             if (result && errno == EINPROGRESS)
                 errno = EINTR;
--- a/tests/fleetlab/test_system_faults.py
+++ b/tests/fleetlab/test_system_faults.py
@@ -1,4 +1,4 @@
-"""Each fault of the library comes in a process that loads it, and none comes unasked."""
+"""Each fault of the library occurs in a process that loads it, and only if it is requested."""
 
 from __future__ import annotations
 
@@ -14,32 +14,34 @@
 from fleetlab.system_faults.control import SystemFault, SystemFaults
 from fleetlab.system_faults.library import MissingCompilerError, build_library, library_environment
 
-# what a process does to meet each fault; the name of the error, or what was read, is printed
+# Helpers for the code that triggers each fault in a process. That code prints the name of the
+# error, "short" after an incomplete transfer, or "fine".
 PROLOGUE = """
 import errno, os, select, socket, time
-def name(call):
+def call_result(call):
     try:
         return call()
     except OSError as error:
         return errno.errorcode[error.errno]
-def pair():
+def connected_pair():
     client = socket.create_connection(listener.getsockname())
     return client, listener.accept()[0]
 """
 LISTEN = 'listener = socket.create_server(("127.0.0.1", 0));'
 ACTIONS = {
     SystemFault.ACCEPT: LISTEN + "client = socket.socket(); client.connect(listener.getsockname());"
-    "listener.setblocking(False); print(name(lambda: listener.accept() and 'fine'))",
-    SystemFault.SOCKET: "print(name(lambda: socket.socket() and 'fine'))",
+    "listener.setblocking(False); print(call_result(lambda: listener.accept() and 'fine'))",
+    SystemFault.SOCKET: "print(call_result(lambda: socket.socket() and 'fine'))",
     SystemFault.CONNECT: LISTEN + "s = socket.socket(); s.setblocking(False);"
-    "print(name(lambda: s.connect_ex(listener.getsockname()) in (0, 115) and 'fine'))",
-    SystemFault.SHORT_READ: LISTEN + "a, b = pair(); b.sendall(b'x' * 99); time.sleep(0.1);"
+    "print(call_result(lambda: s.connect_ex(listener.getsockname()) in (0, 115) and 'fine'))",
+    SystemFault.SHORT_READ: LISTEN
+    + "a, b = connected_pair(); b.sendall(b'x' * 99); time.sleep(0.1);"
     "print('fine' if len(a.recv(99)) == 99 else 'short')",
     SystemFault.SHORT_WRITE: LISTEN
-    + "a, b = pair(); print('fine' if a.send(b'x' * 99) == 99 else 'short')",
-    SystemFault.BROKEN_CONNECTION: LISTEN + "a, b = pair(); b.send(b'x');"
-    "print(name(lambda: a.recv(9) and 'fine'))",
-    SystemFault.LOG_WRITE: "print(name(lambda: os.write(2, b'x') and 'fine'))",
+    + "a, b = connected_pair(); print('fine' if a.send(b'x' * 99) == 99 else 'short')",
+    SystemFault.BROKEN_CONNECTION: LISTEN + "a, b = connected_pair(); b.send(b'x');"
+    "print(call_result(lambda: a.recv(9) and 'fine'))",
+    SystemFault.LOG_WRITE: "print(call_result(lambda: os.write(2, b'x') and 'fine'))",
 }
 
 
@@ -67,9 +69,10 @@
 
 
 @pytest.mark.parametrize("fault", ACTIONS)
-def test_a_call_fails_where_it_is_asked_to_and_never_else(
+def test_call_fails_only_while_its_fault_is_requested(
     library: Path, faults: SystemFaults, fault: SystemFault
 ) -> None:
+    """Guards against a fault that occurs without being requested, or never occurs."""
     assert run_python(library, faults, ACTIONS[fault]) == "fine"
     assert not any(faults.count_failed_calls(kind) for kind in SystemFault)
     faults.set_probability(fault, 1.0)
@@ -77,16 +80,16 @@
     assert faults.count_failed_calls(fault) >= 6
 
 
-def test_a_wait_that_is_interrupted_goes_on(library: Path, faults: SystemFaults) -> None:
+def test_interrupted_wait_is_resumed(library: Path, faults: SystemFaults) -> None:
+    """Guards against an EINTR from a wait for events that ends the process."""
     faults.set_probability(SystemFault.WAIT_INTERRUPTED, 0.5)
-    code = "p = select.epoll(); [p.poll(0.001) for _ in range(50)]; print('over')"
-    assert run_python(library, faults, code) == "over"
+    code = "p = select.epoll(); [p.poll(0.001) for _ in range(50)]; print('done')"
+    assert run_python(library, faults, code) == "done"
     assert faults.count_failed_calls(SystemFault.WAIT_INTERRUPTED)
 
 
-def test_the_wall_clock_is_stepped_and_the_monotonic_one_is_not(
-    library: Path, faults: SystemFaults
-) -> None:
+def test_clock_step_changes_the_wall_clock_only(library: Path, faults: SystemFaults) -> None:
+    """Guards against steps that replace earlier ones, or that change the monotonic clock."""
     faults.step_clock(-3600)
     faults.step_clock(5)
     wall, monotonic = run_python(library, faults, "print(time.time(), time.monotonic())").split()
@@ -94,9 +97,10 @@
     assert float(monotonic) == pytest.approx(time.monotonic(), abs=10)
 
 
-def test_a_missing_compiler_is_a_clear_error(
+def test_missing_compiler_raises_an_error_with_its_name(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against an error that does not name the compiler from the environment."""
     monkeypatch.setenv("CC", "no-such-compiler")
     with pytest.raises(MissingCompilerError, match="no-such-compiler"):
         build_library(tmp_path)
--- a/tests/soak/builders.py
+++ b/tests/soak/builders.py
@@ -1,4 +1,4 @@
-"""Builders of what the oracles judge: one request, its attempts, and the process that served it."""
+"""Builders of evidence for the oracles: a request, its attempts and the process that served it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def served_request(effect: Effect = Effect.IDEMPOTENT, **changes: Any) -> ClientRequest:
-    """Return a request that was sent at 10 s and served at 10.1 s."""
+    """Return a request that was sent at 10 s and answered at 10.1 s."""
     defaults: dict[str, Any] = {
         "first_on_connection": False,
         "sent_at": 10.0,
@@ -35,13 +35,13 @@
 
 
 def unanswered_request(effect: Effect = Effect.IDEMPOTENT, **changes: Any) -> ClientRequest:
-    """Return a request whose connection has ended at 11 s, without a response."""
+    """Return a request whose connection ended at 11 s without a response."""
     defaults = {"answered_at": None, "status": 0, "body": b"", "ended_at": 11.0}
     return served_request(effect, **(defaults | changes))
 
 
 def attempt(at: float = 10.01, backend: str = "s-1", **changes: Any) -> Attempt:
-    """Return an attempt that was served 50 ms after its arrival."""
+    """Return an attempt that was served 50 ms after it arrived."""
     defaults: dict[str, Any] = {
         "result": AttemptResult.SERVED,
         "ended_at": at + 0.05,
@@ -52,12 +52,12 @@
 
 
 def process_record(**changes: Any) -> ProcessRecord:
-    """Return a process that has served from 1 s on."""
+    """Return the record of a process that has been ready since 1 s."""
     return ProcessRecord("n0", 7, **({"started_at": 0.5, "ready_at": 1.0} | changes))
 
 
 def evidence(*requests: ClientRequest, **changes: Any) -> Evidence:
-    """Return what was seen: of these requests, with other parts of the record by name."""
+    """Return evidence with these requests; other parts of the record are given by name."""
     logs = {"n0": changes.pop("log", "")}
     site = changes.pop("site", SITE)
     crowd = changes.pop("crowd", False)
@@ -77,14 +77,14 @@
 
 
 def startup_burst(count: int) -> list[Attempt]:
-    """Return so many attempts at a backend within one window after its start."""
+    """Return a number of attempts at a backend, 1 ms apart, within one window after its start."""
     return [attempt(10.0 + number / 1000) for number in range(count)]
 
 
 def burst_from_two_ingresses(notified: int, late: int) -> Evidence:
-    """Return a burst at a starting backend from an ingress that was told, and from a late one.
+    """Return a burst at a starting backend from a notified ingress and from one not yet notified.
 
-    The rule allows 108.4 requests in its window, and two thirds of it are 72.3.
+    The rule allows 108.4 requests in the window; two thirds of that are 72.3.
     """
     attempts = startup_burst(notified + late)
     requests = []
--- a/tests/soak/support.py
+++ b/tests/soak/support.py
@@ -1,4 +1,4 @@
-"""One real ingress process between a soak's backends and its clients."""
+"""A real ingress process between soak backends and clients."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass
 class RunningIngress:
-    """A running ingress and what is around it."""
+    """A running ingress with its settings, backends, and recorded attempts and requests."""
 
     site: SoakSite
     process: IngressProcess
@@ -32,14 +32,14 @@
     seconds: float = 0.0
 
     def request_spec(self, number: int = 0, class_index: int = 0) -> RequestSpec:
-        """Return a request of a class, with all the time that the class has."""
+        """Return a request of a class, with the deadline of the class as its time-out."""
         request_class = self.site.classes[class_index]
         return RequestSpec(
             f"{number:016x}", request_class.name, request_class.effect, request_class.deadline_s
         )
 
     async def connect(self) -> ClientConnection:
-        """Connect a client."""
+        """Return a new client connection."""
         return await ClientConnection.connect(
             self.process.name, self.process.address, self.requests
         )
@@ -57,7 +57,7 @@
 async def running_ingress(
     folder: Path, site: SoakSite, behaviour: Behaviour, backends: int = 4, number: int = 0
 ) -> AsyncIterator[RunningIngress]:
-    """Run an ingress before so many backends that all behave alike."""
+    """Run an ingress in front of a number of backends that all behave the same."""
     attempts: list[Attempt] = []
     async with AsyncExitStack() as resources:
         servers = []
@@ -82,9 +82,10 @@
 async def send_late_in_drain(
     ingress: RunningIngress, connect_after_s: float, send_after_s: float
 ) -> ClientRequest:
-    """Send SIGTERM, connect and send a request so long after it; SIGKILL as early as it may come.
+    """Send SIGTERM, then connect and send a request after the given times.
 
-    Return the request, with its response if there was one.
+    SIGKILL follows at the earliest permitted time if the process has not exited. Return the request
+    with its response, if any.
     """
     ending = asyncio.create_task(ingress.process.terminate(ingress.site.kill_after_s))
     await asyncio.sleep(connect_after_s)
--- a/tests/soak/test_drain_and_unbounded_responses.py
+++ b/tests/soak/test_drain_and_unbounded_responses.py
@@ -1,4 +1,4 @@
-"""The two faults of the incident of 2026-12-02, on real processes over loopback.
+"""Requests during a drain and responses without a length, on real processes over loopback.
 
 See docs/incidents/2026-12-02-requests-lost-at-shutdown.md.
 """
@@ -25,7 +25,10 @@
 def test_request_that_arrives_in_a_drain_is_answered_before_the_earliest_sigkill(
     request_class: SoakClass, send_after_s: float, tmp_path: Path
 ) -> None:
-    """All backends hang, as in both records of the incident."""
+    """Guards against requests that arrive during a drain and are lost at SIGKILL.
+
+    It happened while all backends hung: the requests were still pending at the earliest SIGKILL.
+    """
 
     async def test() -> None:
         site = SoakSite((request_class,))
@@ -43,6 +46,11 @@
 def test_complete_response_without_a_length_is_forwarded(
     behaviour: Behaviour, effect: Effect, tmp_path: Path
 ) -> None:
+    """Guards against complete responses that are withheld because they state no length.
+
+    Such a response is complete when the backend closes the connection.
+    """
+
     async def test() -> None:
         site = SoakSite((SoakClass("search", effect, 2.0),))
         async with running_ingress(tmp_path, site, behaviour) as ingress:
@@ -57,6 +65,8 @@
 def test_response_without_a_length_that_is_reset_is_not_forwarded(
     effect: Effect, tmp_path: Path
 ) -> None:
+    """Guards against a truncated body that is taken for a complete response after a reset."""
+
     async def test() -> None:
         site = SoakSite((SoakClass("search", effect, 2.0),))
         async with running_ingress(tmp_path, site, Behaviour.UNBOUNDED_RESET) as ingress:
--- a/tests/soak/test_oracles.py
+++ b/tests/soak/test_oracles.py
@@ -1,4 +1,4 @@
-"""Each oracle finds the violation of its rule, and lets pass what the rule allows."""
+"""Each oracle reports violations of its rule, and accepts what the rule allows."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 )
 
 VIOLATIONS: dict[str, tuple[str, Callable[[], Evidence]]] = {
-    "a taken request is never answered": (
+    "an accepted request is never answered": (
         "lost",
         lambda: evidence(unanswered_request(), log=ACCEPTED, attempts=[HANGING]),
     ),
-    "a forwarded request is never answered, whatever the log says": (
+    "a forwarded request without a log line is never answered": (
         "lost",
         lambda: evidence(unanswered_request(), attempts=[HANGING]),
     ),
@@ -65,11 +65,11 @@
         "lost",
         lambda: evidence(unanswered_request(sent_at=12.0, ended_at=13.2), lives=[PAUSED]),
     ),
-    "a body is no backend's": (
+    "a body was served by no backend": (
         "served_unmade",
         lambda: evidence(served_request(body=b"x"), attempts=[SERVED]),
     ),
-    "a second response comes": (
+    "a second response arrives": (
         "answered_twice",
         lambda: evidence(served_request(extra_bytes=9), attempts=[SERVED]),
     ),
@@ -80,7 +80,7 @@
             backend_connections_at_rest=13,
         ),
     ),
-    "a spoilt body is forwarded": (
+    "an invalid body is forwarded": (
         "served_unmade",
         lambda: evidence(served_request(), attempts=[attempt(result=AttemptResult.INVALID)]),
     ),
@@ -88,28 +88,28 @@
         "rejected_after_run",
         lambda: evidence(served_request(Effect.NOT_IDEMPOTENT, status=429), attempts=[HANGING]),
     ),
-    "an unsafe request runs twice": (
+    "a non-idempotent request runs twice": (
         "run_twice",
         lambda: evidence(served_request(Effect.NOT_IDEMPOTENT), attempts=[SERVED, attempt(10.5)]),
     ),
-    "an unsafe request is out twice": (
+    "a non-idempotent request has two attempts in flight": (
         "two_out",
         lambda: evidence(
             served_request(Effect.NOT_IDEMPOTENT),
             attempts=[attempt(result=AttemptResult.NOT_STARTED, ended_at=10.9), attempt(10.5)],
         ),
     ),
-    "a request is out twice without hedging": (
+    "a request has two attempts in flight without hedging": (
         "two_out",
         lambda: evidence(
             served_request(), attempts=[HANGING, attempt(10.5)], site=replace(SITE, hedging=False)
         ),
     ),
-    "a backend gets an id that no client has sent": (
+    "a backend receives an id that no client has sent": (
         "unknown_id",
         lambda: evidence(attempts=[SERVED]),
     ),
-    "a keyed request is repeated after the window": (
+    "a keyed request is repeated after the deduplication window": (
         "window_over",
         lambda: evidence(served_request(Effect.KEYED), attempts=[HANGING, attempt(13.2)]),
     ),
@@ -117,11 +117,11 @@
         "sent_after_leave",
         lambda: evidence(unanswered_request(left_at=10.05), attempts=[attempt(10.5)]),
     ),
-    "a backend is told too much time": (
+    "a forwarded timeout exceeds the time left": (
         "told_too_much",
         lambda: evidence(served_request(), attempts=[attempt(10.4, told_timeout_s=1.9)]),
     ),
-    "a draining backend is sent to": (
+    "a draining backend receives an attempt": (
         "sent_to_draining",
         lambda: evidence(
             served_request(),
@@ -132,7 +132,7 @@
             ],
         ),
     ),
-    "a draining backend is sent to while another process waited for a processor": (
+    "a draining backend receives an attempt while another process waited for a processor": (
         "sent_to_draining",
         lambda: evidence(
             served_request(sent_at=9.9),
@@ -153,15 +153,15 @@
             list_changes=[ListChange("n0", "s-1", "active", 9.95)],
         ),
     ),
-    "ingresses that were told and a late one overload a starting backend": (
+    "notified ingresses and a late one overload a starting backend": (
         "slow_start",
         lambda: burst_from_two_ingresses(notified=75, late=34),
     ),
-    "ingresses that were told of a start leave no room for a late one": (
+    "notified ingresses use more than two thirds of the limit at a starting backend": (
         "slow_start_room",
         lambda: burst_from_two_ingresses(notified=73, late=0),
     ),
-    "a starting backend is overloaded by a process that was told anew": (
+    "a starting backend is overloaded by a process that was notified after its restart": (
         "slow_start",
         lambda: evidence(
             served_request(),
@@ -182,11 +182,11 @@
         "bad_client_waits",
         lambda: evidence(bad_clients=[BadClient("n0", "half a head", 10.0, 13.5)]),
     ),
-    "a complete response without a length is kept back": (
+    "a complete response without a length is withheld": (
         "unbounded_kept",
         lambda: evidence(served_request(status=502, body=b""), attempts=[attempt(unbounded=True)]),
     ),
-    "a process ends by itself": (
+    "a process exits without a signal": (
         "crashed",
         lambda: evidence(lives=[process_record(ended_at=9.0, exit_code=0)]),
     ),
@@ -196,12 +196,15 @@
             lives=[process_record(signals=[("SIGTERM", 9.0)], ended_at=10.0, exit_code=1)]
         ),
     ),
-    "a process outlives its drain": ("killed_in_drain", lambda: evidence(lives=[DRAINED])),
+    "a process is killed before its drain ends": (
+        "killed_in_drain",
+        lambda: evidence(lives=[DRAINED]),
+    ),
     "a process is never ready": (
         "not_ready",
         lambda: evidence(lives=[process_record(ready_at=None)]),
     ),
-    "the program counts a violation": (
+    "the program logs a rule violation": (
         "logged_fault",
         lambda: evidence(log="ERROR rule violated: subject=x rule=second_execution"),
     ),
@@ -211,7 +214,7 @@
     "a late ingress that overloads a starting backend": lambda: burst_from_two_ingresses(
         notified=72, late=40
     ),
-    "a drain's late send while its process waited for a processor": lambda: evidence(
+    "an attempt after the drain grace while its process waited for a processor": lambda: evidence(
         served_request(sent_at=9.9),
         attempts=[attempt(10.0)],
         list_changes=[
@@ -225,10 +228,10 @@
     "a process killed without a warning": lambda: evidence(
         unanswered_request(), lives=[KILLED], attempts=[HANGING], log=ACCEPTED
     ),
-    "a request that crossed the close of a resting connection": lambda: evidence(
+    "a request in transit while its idle connection was closed": lambda: evidence(
         unanswered_request()
     ),
-    "a new connection closed after a rest": lambda: evidence(
+    "a new connection closed after an idle time": lambda: evidence(
         unanswered_request(first_on_connection=True, rested_s=2.1)
     ),
     "a new connection closed unread in a crowd": lambda: evidence(
@@ -237,15 +240,15 @@
     "an idempotent request that ran twice": lambda: evidence(
         served_request(answered_at=10.6), attempts=[HANGING, attempt(10.2)]
     ),
-    "an unsafe request sent again after a refusal": lambda: evidence(
+    "a non-idempotent request repeated after a Not-Started response": lambda: evidence(
         served_request(Effect.NOT_IDEMPOTENT),
         attempts=[attempt(result=AttemptResult.NOT_STARTED), attempt(10.2)],
     ),
-    "a keyed request repeated in its window": lambda: evidence(
+    "a keyed request repeated within the deduplication window": lambda: evidence(
         served_request(Effect.KEYED, answered_at=11.5),
         attempts=[HANGING, attempt(11.4, told_timeout_s=0.5)],
     ),
-    "an attempt just before the end of a drain's grace": lambda: evidence(
+    "an attempt just before the end of the drain grace": lambda: evidence(
         served_request(),
         attempts=[SERVED],
         list_changes=[
@@ -253,7 +256,7 @@
             ListChange("n0", "s-1", "leaving", 9.6),
         ],
     ),
-    "a draining backend of which only the process before was told": lambda: evidence(
+    "a draining backend of which only the previous process was notified": lambda: evidence(
         served_request(),
         attempts=[SERVED],
         lives=[process_record(started_at=9.5)],
@@ -270,25 +273,25 @@
             ListChange("", "s-1", "active", 10.0),
         ],
     ),
-    "a burst at a starting backend from an ingress that was not told": lambda: evidence(
+    "a burst at a starting backend from an ingress that was not notified": lambda: evidence(
         served_request(),
         attempts=startup_burst(400),
         backend_starts=[BackendStart("s-1", 0, 9.9)],
         list_changes=[ListChange("n1", "s-1", "active", 9.95)],
     ),
-    "a burst from a process of which only the one before was told": lambda: evidence(
+    "a burst from a process of which only the previous one was notified": lambda: evidence(
         served_request(),
         attempts=startup_burst(400),
         lives=[process_record(started_at=9.97)],
         backend_starts=[BackendStart("s-1", 0, 9.9)],
         list_changes=[ListChange("n0", "s-1", "active", 9.95)],
     ),
-    "a burst at a backend that is warm": lambda: evidence(
+    "a burst at a warm backend": lambda: evidence(
         served_request(),
         attempts=startup_burst(400),
         backend_starts=[BackendStart("s-1", 0, -10.0)],
     ),
-    "an attempt whose end its backend could not see": lambda: evidence(
+    "an attempt whose end its backend could not observe": lambda: evidence(
         served_request(),
         attempts=[attempt(ended_at=10.9, unobserved=True), attempt(10.5)],
         site=replace(SITE, hedging=False),
@@ -296,26 +299,29 @@
     "a starting backend within its budget": lambda: evidence(
         served_request(), attempts=startup_burst(40), backend_starts=[BackendStart("s-1", 0, 10.0)]
     ),
-    "a bad client that got its error": lambda: evidence(
+    "a bad client that received an error": lambda: evidence(
         bad_clients=[BadClient("n0", "half a head", 10.0, 12.1)]
     ),
-    "a process held up as it was to end": lambda: evidence(lives=[PAUSED]),
+    "a process paused before SIGKILL": lambda: evidence(lives=[PAUSED]),
 }
 
 
 @pytest.mark.parametrize("case", VIOLATIONS)
-def test_a_violation_is_found(case: str) -> None:
+def test_violation_is_reported_under_its_rule(case: str) -> None:
+    """Guards against an oracle that misses a violation or reports another rule as well."""
     rule, build = VIOLATIONS[case]
     assert {violation.rule for violation in find_violations(build())} == {rule}
 
 
 @pytest.mark.parametrize("case", ALLOWED)
-def test_what_a_rule_allows_is_no_violation(case: str) -> None:
+def test_allowed_case_is_no_violation(case: str) -> None:
+    """Guards against an oracle that reports what its rule allows."""
     assert find_violations(ALLOWED[case]()) == []
 
 
-def test_a_report_says_how_near_each_rule_was_come() -> None:
+def test_largest_ratio_of_value_to_bound_is_recorded_by_rule() -> None:
+    """Guards against a report that omits how close a run without violations was to a bound."""
     evidence_of_run = evidence(served_request(), attempts=[attempt(10.01, told_timeout_s=2.0)])
     assert find_violations(evidence_of_run) == []
     assert evidence_of_run.bound_ratios["told_too_much"] == pytest.approx(0.01 / 0.2)
-    assert evidence_of_run.bound_ratios["late"] == 0.0  # answered before its time
+    assert evidence_of_run.bound_ratios["late"] == 0.0  # answered before its deadline
--- a/tests/soak/test_planted_faults.py
+++ b/tests/soak/test_planted_faults.py
@@ -1,4 +1,4 @@
-"""The list of planted faults fits the program, and each rule that it names is one of the soak's."""
+"""The list of planted faults matches the program, and the soak checks each rule that it names."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
-def test_a_fault_can_be_planted_and_the_program_still_compiles(
+def test_fault_can_be_planted_and_the_program_still_compiles(
     fault: PlantedFault, tmp_path: Path
 ) -> None:
+    """Guards against source changes after which a fault's text no longer occurs in its file."""
     for edit in fault.edit:
         copy = tmp_path / edit.file
         copy.parent.mkdir(parents=True, exist_ok=True)
@@ -35,12 +36,14 @@
         compile(text, edit.file, "exec")
 
 
-def test_a_text_that_is_not_there_is_an_error(tmp_path: Path) -> None:
+def test_missing_text_is_an_error(tmp_path: Path) -> None:
+    """Guards against a run without the fault that it is meant to detect."""
     (tmp_path / "program.py").write_text("other\n")
     fault = PlantedFault("none", "lost", 1, [Edit("program.py", old="text", new="")])
-    with pytest.raises(PlantingError, match="0 places"):
+    with pytest.raises(PlantingError, match=r"occurs 0 times in program\.py"):
         plant(fault, tmp_path)
 
 
-def test_every_rule_of_the_list_has_an_oracle() -> None:
+def test_every_listed_rule_has_an_oracle() -> None:
+    """Guards against a listed rule that no oracle reports."""
     assert {fault.rule for fault in FAULTS} <= {rule for rule, _ in VIOLATIONS.values()}
--- a/tests/soak/test_run.py
+++ b/tests/soak/test_run.py
@@ -1,4 +1,4 @@
-"""A run leaves everything that the oracles read in its record."""
+"""A run records everything that the oracles read."""
 
 from __future__ import annotations
 
@@ -12,8 +12,12 @@
 from fleetlab.soak.schedule import FaultKind, PlannedFault, make_plan
 
 
-def test_a_run_records_what_the_oracles_read(tmp_path: Path) -> None:
-    """A backend drains and comes back; the list's own changes and what was told are both there."""
+def test_run_records_what_the_oracles_read(tmp_path: Path) -> None:
+    """Guards against oracles that pass because the observations they need are missing.
+
+    A backend drains and restarts. The changes of the endpoint list itself and the notifications of
+    the ingress have to be recorded.
+    """
     drain = PlannedFault(0.5, FaultKind.BACKEND_DRAINS, 0, 0.2)
     plan = replace(make_plan(1, 1, 3.0), faults=(drain,), crowd=False)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -1,4 +1,4 @@
-"""What a seed draws: listed seeds as before, and seeds that press on slow start."""
+"""Plans by seed: listed seeds keep their plans, and stress plans contain the intended faults."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 from fleetlab.soak.schedule import FaultKind
 
-# of the plans with 10 ingresses and 10 seconds, as they were when the seeds were listed
+# Hashes of the plans with 10 ingresses and 10 seconds, taken when the seeds were listed.
 LISTED_PLANS = {
     1: "8073c27311c8f9e0",
     4: "7a2d4797139f01ef",
@@ -24,12 +24,14 @@
 
 
 @pytest.mark.parametrize("seed", LISTED_PLANS)
-def test_a_listed_seed_draws_the_same_plan(seed: int) -> None:
+def test_listed_seed_draws_the_same_plan(seed: int) -> None:
+    """Guards against a changed draw, after which a listed seed would no longer show its fault."""
     plan = repr(plan_for_seed(seed, 10, 10.0))
     assert hashlib.sha256(plan.encode()).hexdigest()[:16] == LISTED_PLANS[seed]
 
 
-def test_eight_seeds_press_on_slow_start_in_many_ways() -> None:
+def test_eight_slow_start_seeds_cover_all_windows_and_late_notifications() -> None:
+    """Guards against stress plans that miss a window, a replacement or a silent agent."""
     plans = [plan_for_seed(FIRST_SLOW_START_SEED + seed, 0, 12.0) for seed in range(1, 9)]
     assert {plan.site.overload_window_s for plan in plans} == {0.5, 1.0, 3.0}
     for plan in plans:
@@ -40,7 +42,8 @@
     assert late
 
 
-def test_a_seed_that_presses_on_shutdown_restarts_all_ingresses_while_backends_hang() -> None:
+def test_shutdown_seed_restarts_all_ingresses_while_backends_hang() -> None:
+    """Guards against restarts without any hanging backend, which lose no request."""
     plan = plan_for_seed(FIRST_SHUTDOWN_SEED + 1, 6, 12.0)
     restarts = [fault for fault in plan.faults if fault.kind is FaultKind.RESTART]
     assert {fault.target for fault in restarts} == set(range(6))
@@ -54,7 +57,8 @@
         assert hanging
 
 
-def test_a_seed_that_presses_on_hold_ups_pauses_all_ingresses_often() -> None:
+def test_pause_seed_pauses_all_ingresses_often() -> None:
+    """Guards against ingresses with too few pauses for one to cross a deadline or response."""
     plan = plan_for_seed(FIRST_PAUSE_SEED + 1, 6, 12.0)
     pauses = [fault.target for fault in plan.faults if fault.kind is FaultKind.PAUSE]
     assert all(pauses.count(ingress) > 5 for ingress in range(6))
--- a/tests/soak/test_slow_start_budget.py
+++ b/tests/soak/test_slow_start_budget.py
@@ -1,20 +1,18 @@
-"""Ingresses that all know of a backend's start overload it together, with no late one among them.
+"""Guards against ingresses that together overload a starting backend though all were notified.
 
-What happened: six ingresses before six backends, half of which are replaced within seven seconds.
-Each starting backend got up to 1.7 times what the rule allows within `overload_for` (1 s here), all
-from ingresses that had been notified seconds before; each request once.
+With six ingresses and six backends, half of them replaced within seven seconds, each starting
+backend received up to 1.7 times the limit within `overload_for` (1 s here), all from ingresses that
+had been notified seconds before. No request was sent twice.
 
-Why: each ingress divided the work that overloads a backend by what it took for the work of a
-request. It learnt that from the time of responses, divided by its own requests at the backend, as
-if these waited for each other. They ran side by side, so the estimate sank from 22 to 10.5 ms where
-the work is 25 ms, and the budget grew. In a copy that printed each budget as it was set, in ms:
+Each ingress divided the work that overloads a backend by its estimate of the work per request,
+which it derived from response times divided by its own requests at the backend, as if these were
+queued. They ran concurrently, so the estimate fell from 22 to 10.5 ms (the actual work is 25 ms),
+and the budget rose from 89 ms at a warmth of 0.20 to 242 ms at 0.59, for each of 4 ingresses that
+used the backend. The latter is 92 requests per second, while 47 overload the backend.
 
-    backend 111875633122863 warmth 0.20 budget 89 mean work 22.3 users 4
-    backend 111875633122863 warmth 0.59 budget 242 mean work 10.5 users 4
-
-The second is 92 requests in a second, where 47 overload the backend. With 25 ms in its place the
-fullest windows still held 0.65 to 0.82 of the bound, 25 to 30 requests where the budgets were 13
-together: each ingress counted in windows of its own, and two budgets met in one window of the rule.
+With 25 ms the fullest windows still reached 0.65 to 0.82 of the limit, 25 to 30 requests where the
+budgets added up to 13: each ingress counted in windows of its own, and two budgets could fall into
+one window of the rule.
 
 See docs/incidents/2026-12-03-starting-backends-overloaded.md.
 """
@@ -62,7 +60,8 @@
 )
 
 
-def test_ingresses_that_know_of_a_start_do_not_overload_the_backend(tmp_path: Path) -> None:
+def test_notified_ingresses_do_not_overload_a_starting_backend(tmp_path: Path) -> None:
+    """Guards against budgets that rise with concurrency or add up within one window."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         result, evidence = runner.run(asyncio.wait_for(run_plan(PLAN, tmp_path), TIMEOUT_S))
     assert len(evidence.record.backend_starts) == 3
