--- a/sumacpost/server/connection.py
+++ b/sumacpost/server/connection.py
@@ -24,12 +24,12 @@
 from sumacpost.server.request_handler import RequestHandler
 from sumacpost.server.request_reader import RequestMessage, RequestReader
 from sumacpost.server.response import PendingResponse
-from sumacpost.server.socket_state import has_unread_input, peer_has_ended
+from sumacpost.server.socket_state import has_unread_input, peer_has_disconnected
 
 # Responses pending on one connection, before further input is buffered unread.
 MAX_PIPELINED = 8
 # Input buffered so, which is one more request of any size; beyond it the connection ends.
-MAX_UNREAD_BYTES = MAX_HEAD + MAX_BODY
+MAX_BUFFERED_BYTES = MAX_HEAD + MAX_BODY
 
 
 class ConnectionState(Enum):
@@ -41,7 +41,7 @@
 
 
 # Why a connection may end with responses owed: there is nobody to read them.
-_CLIENT_GAVE_UP = frozenset((CloseReason.CLIENT_LEFT, CloseReason.INVALID_INPUT))
+_REASONS_WITHOUT_READER = frozenset((CloseReason.CLIENT_LEFT, CloseReason.INVALID_INPUT))
 # Up to Python 3.11 each access to a member through its class costs a call.
 _READING = ConnectionState.READING
 _FINISHING = ConnectionState.FINISHING
@@ -64,7 +64,7 @@
         sock: socket.socket,
         registry: ConnectionRegistry[ClientConnection],
         handler: RequestHandler,
-        unread_for_s: float = 0.0,
+        unread_age_s: float = 0.0,
     ) -> None:
         """Take a socket whose first bytes have stood in it for so long."""
         self._sock = sock
@@ -75,10 +75,10 @@
         self._close_reason = CloseReason.CLIENT_LEFT  # until the ingress closes it itself
         self._finish_reason = CloseReason.DRAIN_DEADLINE
         self._pending_responses: deque[PendingResponse] = deque()
-        self._unread: deque[ReceivedData] = deque()
-        self._unread_bytes = 0
-        self._unread_dropped = False  # unread input has gone beyond its bound
-        self._unread_for_s = unread_for_s
+        self._buffered_input: deque[ReceivedData] = deque()
+        self._buffered_bytes = 0
+        self._buffer_overflowed = False  # unread input has gone beyond its bound
+        self._unread_age_s = unread_age_s
         self._received_at = 0.0  # monotonic seconds: when the bytes being parsed were received
         self._parsing = False
         self._writing_paused = False  # the client does not take its responses
@@ -98,12 +98,12 @@
         """
         if self._state is _CLOSING:
             return
-        self._unread.append(ReceivedData(time.monotonic() - self._unread_for_s, data))
-        self._unread_for_s = 0.0
-        self._unread_bytes += len(data)
+        self._buffered_input.append(ReceivedData(time.monotonic() - self._unread_age_s, data))
+        self._unread_age_s = 0.0
+        self._buffered_bytes += len(data)
         self.advance()
-        if self._unread_bytes > MAX_UNREAD_BYTES:
-            self._unread_dropped = True
+        if self._buffered_bytes > MAX_BUFFERED_BYTES:
+            self._buffer_overflowed = True
             self._close_reason = CloseReason.INVALID_INPUT
             self._reject(429)
 
@@ -118,13 +118,13 @@
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """Cancel the requests whose responses are still pending."""
-        self._stop_reading()
+        self._discard_input()
         self._registry.connection_closed(self)
         unsent = self._pending_responses
         self._pending_responses = deque()
         for response in unsent:
             self._handler.cancel(response)
-        if unsent and self._close_reason not in _CLIENT_GAVE_UP:
+        if unsent and self._close_reason not in _REASONS_WITHOUT_READER:
             self._handler.recorder.record_violation(
                 "closed_with_response_owed",
                 self._transport.get_extra_info("peername"),
@@ -149,36 +149,36 @@
             return  # responses that are ready at once go out when the bytes have been parsed
         wrote = self._write_due_responses()
         while (
-            self._unread
+            self._buffered_input
             and self._state is not _CLOSING
             and not self._writing_paused
             and len(self._pending_responses) < MAX_PIPELINED
         ):
             self._parse_next()
             wrote = self._write_due_responses() or wrote
-        if self._state is _FINISHING and not (self._pending_responses or self._unread):
-            self._end_input(self._finish_reason)
+        if self._state is _FINISHING and not (self._pending_responses or self._buffered_input):
+            self._end_after_input(self._finish_reason)
         self._update_registry(wrote)
 
     def has_disconnected(self) -> bool:
         """Return whether the client has gone, even if the loop has not learnt that yet."""
-        return peer_has_ended(self._sock)
+        return peer_has_disconnected(self._sock)
 
     def close_obstacle(self) -> CloseObstacle | None:
         """Return why the connection may not simply be closed now, if anything."""
         return close_obstacle(
             ConnectionFacts(
                 responses_owed=len(self._pending_responses),
-                buffered_bytes=self._unread_bytes,
+                buffered_bytes=self._buffered_bytes,
                 has_partial_message=self._reader.has_partial_message,
                 has_unread_input=has_unread_input(self._sock),
             )
         )
 
     def _parse_next(self) -> None:
-        received = self._unread.popleft()
+        received = self._buffered_input.popleft()
         self._received_at = received.received_at
-        self._unread_bytes -= len(received.data)
+        self._buffered_bytes -= len(received.data)
         self._parsing = True
         try:
             self._reader.feed(received.data)
@@ -196,12 +196,12 @@
         if self._state is _CLOSING:
             return
         if self.has_disconnected():
-            self._stop_reading()
+            self._discard_input()
             return
         response = PendingResponse(self, message.keep_alive, self._received_at)
         self._pending_responses.append(response)
         if not message.keep_alive:
-            self._stop_reading()
+            self._discard_input()
         self._handler.handle(message, response)
 
     def _reject(self, status: int) -> None:
@@ -210,7 +210,7 @@
             return
         response = PendingResponse(self, keep_alive=False, received_at=self._received_at)
         self._pending_responses.append(response)
-        self._stop_reading()
+        self._discard_input()
         response.send(status)
 
     def _write_due_responses(self) -> bool:
@@ -225,11 +225,11 @@
             is_last = is_last_response(
                 response.keep_alive,
                 self._handler.draining,
-                bool(self._pending_responses or self._unread),
+                bool(self._pending_responses or self._buffered_input),
             )
             self._write(response.head, response.body, is_last)
             if is_last:
-                self._finish_sending()
+                self._end_after_last_response()
         return wrote
 
     def _write(self, head: bytes, body: bytes, is_last: bool) -> None:
@@ -248,9 +248,9 @@
             return
         elif self._reader.has_partial_message:
             if wrote or self in self._registry.idle:
-                self._registry.await_request(self)
+                self._registry.mark_waiting(self)
         elif wrote:
-            self._registry.park_idle(self)
+            self._registry.mark_idle(self)
 
     # ---- ways to end
 
@@ -271,19 +271,19 @@
         self._transport.pause_reading()
         self.advance()
 
-    def _end_input(self, reason: CloseReason) -> None:
+    def _end_after_input(self, reason: CloseReason) -> None:
         """End a connection that owes no response: reject what is left of a request."""
         if self._reader.has_partial_message:
             self.on_request_timeout(reason)
         else:
             self._close_reason = reason
-            self._finish_sending()
+            self._end_after_last_response()
 
     def close(self, reason: CloseReason) -> None:
         """Close the connection between requests, once its last response is written."""
         self._close_reason = reason
         self._state = _CLOSING
-        self._end_sending()
+        self._close_transport()
 
     def evict(self) -> None:
         """Close at once, as the place is needed: a client that reads nothing would keep it."""
@@ -301,12 +301,12 @@
         self._state = _CLOSING
         self._transport.abort()
 
-    def _stop_reading(self) -> None:
+    def _discard_input(self) -> None:
         self._state = _CLOSING
-        self._unread.clear()
-        self._unread_bytes = 0
+        self._buffered_input.clear()
+        self._buffered_bytes = 0
 
-    def _finish_sending(self) -> None:
+    def _end_after_last_response(self) -> None:
         """End the connection after its last response.
 
         Where more input may come, the socket is read on for a while: closing it with unread bytes
@@ -314,15 +314,15 @@
         """
         if self._close_reason is CloseReason.CLIENT_LEFT:
             self._close_reason = CloseReason.RESPONSE_WAS_LAST
-        self._stop_reading()
+        self._discard_input()
         self._registry.mark_closing(self)
-        if self._reader.incomplete_bytes or self._unread_dropped:
+        if self._reader.incomplete_bytes or self._buffer_overflowed:
             if self._transport.can_write_eof():
                 self._transport.write_eof()
         else:
-            self._end_sending()
+            self._close_transport()
 
-    def _end_sending(self) -> None:
+    def _close_transport(self) -> None:
         """Close the connection; in a drain end the sending alone, until the client has closed.
 
         A client that has sent more by then would get a reset, and could lose a response that it has
--- a/sumacpost/server/connection_registry.py
+++ b/sumacpost/server/connection_registry.py
@@ -28,9 +28,9 @@
 WAITING_DIVISOR = 4
 
 # Connections of a queue that are examined for one to evict.
-MAX_EXAMINED = 8
+MAX_EVICTION_EXAMINED = 8
 # Their place is given to another: at rest, or with a request that has not come whole.
-_EVICTABLE = frozenset((None, CloseObstacle.REQUEST_INCOMPLETE))
+_EVICTABLE_OBSTACLES = frozenset((None, CloseObstacle.REQUEST_INCOMPLETE))
 
 log = logging.getLogger(__name__)
 
@@ -52,7 +52,7 @@
         self.idle: ConnectionQueue[ConnectionType] = ConnectionQueue()
         self.closing: ConnectionQueue[ConnectionType] = ConnectionQueue()
         # Called when a connection ends or may be evicted, so that another can be accepted.
-        self.on_capacity: Callable[[], None] = lambda: None
+        self.on_capacity_available: Callable[[], None] = lambda: None
 
     @property
     def is_full(self) -> bool:
@@ -73,14 +73,14 @@
     def connection_failed(self) -> None:
         """Count one no more that was accepted and could not be opened."""
         self._opening -= 1
-        self.on_capacity()
+        self.on_capacity_available()
 
     def connection_opened(self, connection: ConnectionType) -> None:
         """Take in a connection that has its transport."""
         self._opening -= 1
         self.open[connection] = None
         self.waiting.add(connection)
-        self.on_capacity()  # only now can it be evicted
+        self.on_capacity_available()  # only now can it be evicted
 
     def connection_closed(self, connection: ConnectionType) -> None:
         """Forget a connection that has ended."""
@@ -88,7 +88,7 @@
         self.closing.discard(connection)
         self.waiting.discard(connection)
         self.idle.discard(connection)
-        self.on_capacity()
+        self.on_capacity_available()
 
     # ---- what a connection waits for
 
@@ -97,12 +97,12 @@
         self.waiting.discard(connection)
         self.idle.discard(connection)
 
-    def await_request(self, connection: ConnectionType) -> None:
+    def mark_waiting(self, connection: ConnectionType) -> None:
         """Note that a request has begun: it has REQUEST_TIMEOUT_S from now on to come."""
         self.idle.discard(connection)
         self.waiting.add(connection)
 
-    def park_idle(self, connection: ConnectionType) -> None:
+    def mark_idle(self, connection: ConnectionType) -> None:
         """Note that all responses are sent; close the connection longest idle if too many are.
 
         The bound guards against clients that send one request and keep their connection: idle
@@ -112,7 +112,7 @@
         """
         self.waiting.discard(connection)
         self.idle.add(connection)
-        self.on_capacity()
+        self.on_capacity_available()
         if len(self.idle) > self._max_idle and (longest_idle := self.idle.oldest()) is not None:
             self._close_idle_connection(longest_idle, CloseReason.EVICTED)
 
@@ -135,8 +135,8 @@
         opened_before = inf if many_waiting else time.monotonic() - NEW_CONNECTION_GRACE_S
         return (
             self.closing.oldest()
-            or _first_at_rest(self.waiting, opened_before)
-            or _first_at_rest(self.idle)
+            or _first_evictable(self.waiting, opened_before)
+            or _first_evictable(self.idle)
             or self.waiting.oldest()
             or self.idle.oldest()
         )
@@ -149,7 +149,7 @@
     def enforce_timeouts(self) -> None:
         """End the requests and connections whose time is over."""
         now = time.monotonic()
-        self.end_waiting(now - REQUEST_TIMEOUT_S, CloseReason.REQUEST_TIMEOUT)
+        self.close_waiting(now - REQUEST_TIMEOUT_S, CloseReason.REQUEST_TIMEOUT)
         self.close_idle(now - IDLE_TIMEOUT_S, CloseReason.IDLE)
         while (late := self.closing.oldest(now - LINGER_TIMEOUT_S)) is not None:
             self.closing.discard(late)
@@ -167,7 +167,7 @@
             else:
                 self.idle.add(late)
 
-    def close_departed(self) -> None:
+    def close_disconnected(self) -> None:
         """Close the connections whose clients have closed them after their last response.
 
         In a drain nothing is read from these, so the event loop does not see it.
@@ -176,7 +176,7 @@
             if connection.has_disconnected():
                 connection.abort()
 
-    def end_waiting(self, before: float, reason: CloseReason) -> None:
+    def close_waiting(self, before: float, reason: CloseReason) -> None:
         """End the connections that have waited for a request since before that time.
 
         One whose first request has come, though the loop has not read it, is given time for it.
@@ -205,13 +205,13 @@
         connection.close(reason)
 
 
-def _first_at_rest(
+def _first_evictable(
     queue: ConnectionQueue[ConnectionType], before: float = inf
 ) -> ConnectionType | None:
     """Return the first of the oldest connections of a queue on which no whole request may stand."""
-    for connection in islice(queue, MAX_EXAMINED):
+    for connection in islice(queue, MAX_EVICTION_EXAMINED):
         if not queue.added_before(connection, before):
             return None
-        if connection.close_obstacle() in _EVICTABLE:
+        if connection.close_obstacle() in _EVICTABLE_OBSTACLES:
             return connection
     return None
--- a/sumacpost/server/drain.py
+++ b/sumacpost/server/drain.py
@@ -13,7 +13,7 @@
 from sumacpost.server.connection_registry import ConnectionRegistry
 from sumacpost.server.listener import LISTEN_BACKLOG, Listener
 
-DRAIN_POLL_S = 0.02  # between two looks at the connections
+DRAIN_POLL_INTERVAL_S = 0.02  # between two looks at the connections
 
 
 @dataclass
@@ -44,13 +44,13 @@
         await self._serve_until_closed()
         self.registry.close_all(CloseReason.DRAIN_DEADLINE)
         self._record_phase("closing")
-        await self._wait_for_ends()
+        await self._wait_until_closed()
         self._record_phase("connections_ended")
 
     async def _accept_until_quiet(self) -> None:
         schedule = self.schedule
         while True:
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
             quiet_ms = (time.monotonic() - self.listener.last_accept_at) * 1000
             quiet = quiet_ms > schedule.quiet_ms
             accept_ms = schedule.min_accept_ms if quiet else schedule.max_accept_ms
@@ -64,22 +64,22 @@
         """Serve the connections there are, until all have ended or none may be read any more."""
         schedule = self.schedule
         while not self.registry.is_empty and self._elapsed_ms() < schedule.respond_within_ms:
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
             now = time.monotonic()
-            self.registry.end_waiting(
+            self.registry.close_waiting(
                 now - schedule.request_timeout_ms / 1000, CloseReason.DRAIN_NO_REQUEST
             )
             self.registry.close_idle(now - schedule.quiet_ms / 1000, CloseReason.DRAIN_IDLE)
             self.registry.enforce_timeouts()
-            self.registry.close_departed()
+            self.registry.close_disconnected()
 
-    async def _wait_for_ends(self) -> None:
+    async def _wait_until_closed(self) -> None:
         """Wait for connections whose clients still read their last response."""
         while not self.registry.is_empty and self._elapsed_ms() < self.schedule.end_within_ms:
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
             self.registry.close_all(CloseReason.DRAIN_DEADLINE)  # also those opened meanwhile
             self.registry.enforce_timeouts()
-            self.registry.close_departed()
+            self.registry.close_disconnected()
 
     def _elapsed_ms(self) -> float:
         return (time.monotonic() - self.started_at) * 1000
--- a/sumacpost/server/listener.py
+++ b/sumacpost/server/listener.py
@@ -11,7 +11,7 @@
 from sumacpost.address import Address
 from sumacpost.server.connection import ClientConnection
 from sumacpost.server.connection_registry import ConnectionRegistry
-from sumacpost.server.socket_state import unread_for_s
+from sumacpost.server.socket_state import unread_input_age_s
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
         self.last_accept_at = 0.0  # monotonic seconds
         # since when connections may have stood in the kernel's queue; None: it has been emptied
         self._backlog_since: float | None = None
-        registry.on_capacity = self.resume
+        registry.on_capacity_available = self.resume
 
     def open(self, address: Address) -> Address:
         """Start accepting; return the address, with the port that the system chose for port 0."""
@@ -105,7 +105,7 @@
         now = time.monotonic()
         self.last_accept_at = now
         queued_s = 0.0 if self._backlog_since is None else now - self._backlog_since
-        unread_s = unread_for_s(sock, queued_s)
+        unread_s = unread_input_age_s(sock, queued_s)
         self._registry.connection_accepted()
         task = self._loop.create_task(self._connect_transport(sock, unread_s))
         self._opening_tasks.add(task)
--- a/sumacpost/server/request.py
+++ b/sumacpost/server/request.py
@@ -19,7 +19,7 @@
 _QUOTA_INFO = re.compile(rb"units=(\d{1,6}(?:\.\d{1,9})?),spread=(\d{1,6}),first=(\d{1,6})")
 
 # Headers that the ingress itself reads.
-_READ_HEADERS = frozenset(
+_INGRESS_HEADERS = frozenset(
     (
         b"request-id",
         b"account",
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class _RequestClass:
+class _ClassEntry:
     """A class of requests: its place in the settings, and what repeating a request would do."""
 
     index: int
@@ -84,7 +84,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self._classes = {
-            b"/" + request_class.name.encode(): _RequestClass(index, request_class.idempotency)
+            b"/" + request_class.name.encode(): _ClassEntry(index, request_class.idempotency)
             for index, request_class in enumerate(settings.classes)
         }
         self._plans = {plan.name.encode(): index for index, plan in enumerate(settings.plans)}
@@ -100,7 +100,7 @@
         headers = _unique_headers(message.headers)
         request_class = self._find_class(message.target)
         _check_class_rules(request_class.idempotency, message, headers)
-        request_id = _match(_REQUEST_ID, headers, b"request-id")[0]
+        request_id = _match_header(_REQUEST_ID, headers, b"request-id")[0]
         arrival = self._read_arrival(request_class.index, headers)
         return Request(
             request_id,
@@ -110,7 +110,7 @@
             request_class.idempotency is not Idempotency.NOT_IDEMPOTENT,
         )
 
-    def _find_class(self, target: bytes) -> _RequestClass:
+    def _find_class(self, target: bytes) -> _ClassEntry:
         """Return the class that the first segment of the path names."""
         path = target.partition(b"?")[0]
         segment_end = path.find(b"/", 1)
@@ -124,9 +124,9 @@
         plan = self._plans.get(headers.get(b"plan", b""))
         if plan is None:
             raise RequestError(400, "no such plan")
-        account = _match(_ACCOUNT, headers, b"account")[0]
-        timeout_s = _match(_SECONDS, headers, b"request-timeout")[0]
-        units, spread, first = _match(_QUOTA_INFO, headers, b"quota-info").groups()
+        account = _match_header(_ACCOUNT, headers, b"account")[0]
+        timeout_s = _match_header(_SECONDS, headers, b"request-timeout")[0]
+        units, spread, first = _match_header(_QUOTA_INFO, headers, b"quota-info").groups()
         arrival = RequestArrived(
             request=0,
             customer=int(account, 16),
@@ -159,7 +159,7 @@
     by_name = dict(headers)
     if len(by_name) < len(headers):
         names = [name for name, _ in headers]
-        for name in _READ_HEADERS:
+        for name in _INGRESS_HEADERS:
             if names.count(name) > 1:
                 raise RequestError(400, f"{name.decode()} comes twice")
     return by_name
@@ -179,7 +179,7 @@
         raise RequestError(400, "a request of this class has no body")
 
 
-def _match(
+def _match_header(
     pattern: re.Pattern[bytes], headers: Mapping[bytes, bytes], name: bytes
 ) -> re.Match[bytes]:
     """Return the match of the whole header."""
@@ -197,7 +197,7 @@
     not_forwarded = _NOT_FORWARDED
     connection = [value for name, value in message.headers if name == b"connection"]
     if named := b",".join(connection):
-        not_forwarded |= {name.strip().lower() for name in named.split(b",")} - _READ_HEADERS
+        not_forwarded |= {name.strip().lower() for name in named.split(b",")} - _INGRESS_HEADERS
     lines = [b"%b %b HTTP/1.1" % (message.method, message.target)]
     lines += [b"%b: %b" % header for header in message.headers if header[0] not in not_forwarded]
     if message.method != b"GET":
--- a/sumacpost/server/request_reader.py
+++ b/sumacpost/server/request_reader.py
@@ -11,7 +11,7 @@
 from sumacpost.http1 import MAX_BODY, MAX_HEAD
 
 MAX_MESSAGE_BYTES = 8 * MAX_BODY  # of one message in all, with its chunk framing
-MAX_LENGTH_DIGITS = 12  # of a Content-Length header
+MAX_CONTENT_LENGTH_DIGITS = 12  # of a Content-Length header
 
 
 @dataclass(slots=True)
@@ -138,5 +138,5 @@
 def _check_content_length(length: bytes) -> None:
     if not length.isdigit():
         raise RequestError(400, "the length is no number")
-    if len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY:
+    if len(length) > MAX_CONTENT_LENGTH_DIGITS or int(length) > MAX_BODY:
         raise RequestError(413, "the body is too long")
--- a/sumacpost/server/server.py
+++ b/sumacpost/server/server.py
@@ -38,5 +38,5 @@
         recorder = self.handler.recorder
         await Drain(self.listener, self.connections, schedule, started_at, recorder).run()
 
-    def _new_connection(self, sock: socket.socket, unread_for_s: float) -> ClientConnection:
-        return ClientConnection(sock, self.connections, self.handler, unread_for_s)
+    def _new_connection(self, sock: socket.socket, unread_age_s: float) -> ClientConnection:
+        return ClientConnection(sock, self.connections, self.handler, unread_age_s)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,7 +25,7 @@
     outcome = yield
     report: pytest.TestReport = outcome.get_result()
     known = KNOWN_FAILURES.get(item.nodeid.partition("[")[0])
-    if known is not None and report.failed and known.describes(report.longreprtext):
+    if known is not None and report.failed and known.matches(report.longreprtext):
         report.outcome = "skipped"
         report.wasxfail = f"{known.seen} ({known.issue})"
 
--- a/tests/discovery/faults.py
+++ b/tests/discovery/faults.py
@@ -25,7 +25,7 @@
 
 async def refuse_connections(agent: DiscoveryAgent, peer: Peer) -> None:
     """Refuse new connections and reset the open ones."""
-    await peer.refuse()
+    await peer.refuse_connections()
 
 
 def inject(fault: Callable[[DiscoveryAgent], Script]) -> BeginFault:
@@ -42,7 +42,7 @@
     "silent": inject(lambda agent: never_respond),
     "truncated and closed": inject(lambda agent: agent.truncate_and_close),
     "truncated and left open": inject(lambda agent: agent.truncate_and_stall),
-    "dripping without end": inject(lambda agent: agent.drip),
+    "dripping without end": inject(lambda agent: agent.send_slowly),
     "complete, but no list": inject(lambda agent: send_bytes(INVALID_LIST, close=False)),
     "an error": inject(lambda agent: send_bytes(SERVER_ERROR, close=False)),
     "after the time-out": inject(lambda agent: agent.respond_late),
--- a/tests/discovery/test_idle_clients.py
+++ b/tests/discovery/test_idle_clients.py
@@ -108,7 +108,7 @@
             endpoint_entry(self.new, "s-1"),
         )
         async with asyncio.timeout(DRAIN_LIMIT_S):
-            await until(lambda: self.agent.is_known_to(self.discovery))
+            await until(lambda: self.agent.current_version_polled(self.discovery))
 
     async def bodies_served(self, numbers: range) -> list[bytes]:
         """Send a request after another as a usual client; return the bodies of the responses."""
--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -22,7 +22,7 @@
 from tests.support.configuration import SETTINGS
 from tests.support.disconnects import (
     BLOCKED_S,
-    attempts,
+    attempted_backends,
     disconnect_during,
     expect_attempt_only_if_client_stays,
     ingress_with_idle_connections,
@@ -93,7 +93,7 @@
             lambda: any(call.request for calls in quota_sync.unanswered.values() for call in calls)
         )
         await until(lambda: len(ingress.counter.requests) > calls_before)
-        assert not attempts(ingress)
+        assert not attempted_backends(ingress)
         writer = ingress.counter.writers[0]
         happen = {
             "it grants": lambda: write_immediately(writer, reply()),
@@ -120,7 +120,7 @@
             client = BlockingClient(ingress.address)
             client.write(slow_request())
             await until_attempted(ingress)
-            (writer,) = attempts(ingress)[0].writers
+            (writer,) = attempted_backends(ingress)[0].writers
             happen = {
                 "rejected": lambda: write_immediately(writer, NOT_STARTED),
                 "malformed": lambda: write_immediately(
@@ -224,11 +224,11 @@
                     if pool.idle:
                         pool.idle[0].close(CloseReason.STALE)
             hook.callback = lambda: disconnect_during(lambda: None, client, how, True)
-            before = len(attempts(ingress))
+            before = len(attempted_backends(ingress))
             if which == "first":
                 client.write(slow_request())
             elif which == "retry":
-                write_immediately(attempts(ingress)[0].writers[0], NOT_STARTED)
+                write_immediately(attempted_backends(ingress)[0].writers[0], NOT_STARTED)
             await until(lambda: hook.callback is None)
             await expect_attempt_only_if_client_stays(ingress, how, before)
 
@@ -254,8 +254,8 @@
                 await until_attempted(ingress, number)
             server = ingress.server
             client.write(slow_request("vat-filing"))
-            await until(lambda: any(c._unread for c in server.connections.open))
-            (first,) = attempts(ingress, 100)
+            await until(lambda: any(c._buffered_input for c in server.connections.open))
+            (first,) = attempted_backends(ingress, 100)
             client.write(behind)
             disconnect_during(
                 lambda: write_immediately(first.writers[-1], OK_RESPONSE), client, how, client_first
@@ -303,7 +303,7 @@
             client = BlockingClient(ingress.address)
             client.write(slow_request())
             await until_attempted(ingress)
-            (writer,) = attempts(ingress)[0].writers
+            (writer,) = attempted_backends(ingress)[0].writers
             client.write(slow_request(number=501)[:40])
             disconnect_during(lambda: write_immediately(writer, NOT_STARTED), client, how, False)
             await expect_attempt_only_if_client_stays(ingress, how, 1)
--- a/tests/server/test_disconnect_races.py
+++ b/tests/server/test_disconnect_races.py
@@ -58,7 +58,7 @@
         async with running_ingress(respond()) as ingress:
             client = await ingress.client()
             client.write(request(Request_Timeout=LONG_TIMEOUT))
-            await until(lambda: connection_gate.arrived == 1)
+            await until(lambda: connection_gate.connect_calls == 1)
             client.disconnect("closed")
             await until(lambda: not ingress.server.connections.open)
             connection_gate.open()
--- a/tests/server/test_pipelining.py
+++ b/tests/server/test_pipelining.py
@@ -54,10 +54,12 @@
             unread = [request("vat-filing", n, Request_Timeout=LONG_TIMEOUT) for n in (50, 51)]
             for data in unread:
                 client.write(data)
-            await until(lambda: connection._unread_bytes == len(b"".join(unread)))
+            await until(lambda: connection._buffered_bytes == len(b"".join(unread)))
             client.disconnect(how)
             await until(lambda: not ingress.server.connections.open and not ingress.bridge._pending)
-            await until(lambda: sum(b.closed for b in ingress.backends) == MAX_PIPELINED)
+            await until(
+                lambda: sum(b.connections_closed for b in ingress.backends) == MAX_PIPELINED
+            )
             assert ingress.requests_received == MAX_PIPELINED
             assert ingress.pool_manager.open_connections == 0
 
@@ -69,7 +71,7 @@
         async with running_ingress(*[never_respond] * 8) as ingress:
             client, connection = await fill_pipeline(ingress)
             client.write(request("vat-filing", 50, Request_Timeout="5.000"))
-            await until(lambda: connection._unread_bytes > 0)
+            await until(lambda: connection._buffered_bytes > 0)
             await asyncio.sleep(0.05)  # time that it loses
             for backend in ingress.backends:
                 backend.script = respond()
@@ -90,7 +92,7 @@
             some_90_kilobytes = b"".join(request("vat-filing", 100 + n) for n in range(400))
             client.write(some_90_kilobytes)
             await until(lambda: connection._state is ConnectionState.CLOSING)
-            assert connection._unread_bytes == 0
+            assert connection._buffered_bytes == 0
             respond_to_all(ingress)
             statuses = [(await client.read_response()).status for _ in range(MAX_PIPELINED)]
             assert statuses == [200] * MAX_PIPELINED
@@ -119,11 +121,11 @@
                 await asyncio.sleep(0)
             before = ingress.requests_received
             client.write(request("vat-filing", number, Request_Timeout=LONG_TIMEOUT))
-            await until(lambda: connection._unread_bytes > 0)
+            await until(lambda: connection._buffered_bytes > 0)
             assert ingress.requests_received == before
             client.resume_reading()
             statuses = [(await client.read_response()).status for _ in range(number + 1)]
             assert 200 in statuses
-            assert not connection._unread
+            assert not connection._buffered_input
 
     run(test())
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -15,24 +15,24 @@
     """A fleet of one backend, at a port of this machine; records the outcomes of its attempts."""
 
     def __init__(self, port: int, max_connections: int = 10, idle_timeout_s: float = 30.0) -> None:
-        self.ended: list[tuple[Attempt, Outcome, Response | None]] = []
-        self.backends = PoolManager(
+        self.ended_attempts: list[tuple[Attempt, Outcome, Response | None]] = []
+        self.pool_manager = PoolManager(
             max_connections=max_connections,
             connect_timeout_s=0.25,
             backend_idle_timeout_s=idle_timeout_s,
-            on_attempt_ended=lambda *end: self.ended.append(end),
+            on_attempt_ended=lambda *end: self.ended_attempts.append(end),
         )
-        self.backends.update_endpoint(1, ("127.0.0.1", port))
+        self.pool_manager.update_endpoint(1, ("127.0.0.1", port))
 
     def start(self, payload: bytes = PAYLOAD) -> Attempt:
         """Begin an attempt; assert that its outcome does not come within the call."""
         attempt = Attempt(None, 0, 1, lambda: payload, 0.0)
-        self.backends.start(attempt)
-        assert not any(a is attempt for a, _, _ in self.ended)
+        self.pool_manager.start(attempt)
+        assert not any(a is attempt for a, _, _ in self.ended_attempts)
         return attempt
 
     async def outcome(self, payload: bytes = PAYLOAD) -> tuple[Outcome, Response | None]:
         """Begin an attempt and return how it ended."""
         attempt = self.start(payload)
-        await until(lambda: any(a is attempt for a, _, _ in self.ended))
-        return next((o, r) for a, o, r in self.ended if a is attempt)
+        await until(lambda: any(a is attempt for a, _, _ in self.ended_attempts))
+        return next((o, r) for a, o, r in self.ended_attempts if a is attempt)
--- a/tests/support/connection_gate.py
+++ b/tests/support/connection_gate.py
@@ -14,12 +14,12 @@
     """Holds up every attempt to connect to a backend until it is opened."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.arrived = 0  # attempts to connect so far
+        self.connect_calls = 0  # attempts to connect so far
         self._opened = asyncio.Event()
         original = ConnectionPool._connect
 
         async def connect_once_open(pool: ConnectionPool, attempt: Attempt) -> None:
-            self.arrived += 1
+            self.connect_calls += 1
             await self._opened.wait()
             await original(pool, attempt)
 
--- a/tests/support/counter_calls.py
+++ b/tests/support/counter_calls.py
@@ -36,8 +36,8 @@
     def __init__(self, peer: Peer, timeout_s: float = 5.0) -> None:
         self.replies: list[CounterReplied] = []
         self.client = CounterClient(("127.0.0.1", peer.port), timeout_s, self.replies.append)
-        self.first_attempt_made = asyncio.Event()
-        self.task = asyncio.create_task(self.client.run(self.first_attempt_made))
+        self.first_connect_attempted = asyncio.Event()
+        self.task = asyncio.create_task(self.client.run(self.first_connect_attempted))
 
     async def outcomes(self, count: int) -> list[CallOutcome]:
         """Wait for as many replies, and return the outcomes of all."""
@@ -58,7 +58,7 @@
     peer = Peer(script, read_counter_call)
     await peer.start()
     recorded = RecordedCounterClient(peer, timeout_s)
-    await recorded.first_attempt_made.wait()
+    await recorded.first_connect_attempted.wait()
     yield peer, recorded
     recorded.task.cancel()
     peer.stop()
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -18,7 +18,7 @@
 # More than the 0.1 s after which an attempt for a client that has gone is a fault.
 BLOCKED_S = 0.15
 # So long that slow responses are never taken for an overload, in which requests are rejected.
-PATIENT_OBJECTIVE_MS = 60_000.0
+LONG_OBJECTIVE_MS = 60_000.0
 # The request whose client leaves.
 REQUEST_NUMBER = 500
 
@@ -30,7 +30,7 @@
     return request(request_class, number, Request_Timeout=LONG_TIMEOUT, **changes)
 
 
-def attempts(ingress: RunningIngress, number: int = REQUEST_NUMBER) -> list[Peer]:
+def attempted_backends(ingress: RunningIngress, number: int = REQUEST_NUMBER) -> list[Peer]:
     """Return the backends that received this request."""
     return [b for b in ingress.backends for data in b.requests if b"%016x" % number in data]
 
@@ -42,7 +42,7 @@
 
 async def until_attempted(ingress: RunningIngress, number: int = REQUEST_NUMBER) -> None:
     """Wait for the first attempt of this request."""
-    await until(lambda: len(attempts(ingress, number)) == 1)
+    await until(lambda: len(attempted_backends(ingress, number)) == 1)
 
 
 @asynccontextmanager
@@ -53,7 +53,7 @@
 
     The first responses come only once all connections are up, however slow the machine is.
     """
-    patient = [c | {"aim": PATIENT_OBJECTIVE_MS} for c in SETTINGS["categories"]]
+    patient = [c | {"aim": LONG_OBJECTIVE_MS} for c in SETTINGS["categories"]]
     changes["settings"] = {"categories": patient} | (settings or {})
     async with running_ingress(*[never_respond] * backends, **changes) as ingress:
         for number in range(backends):
@@ -92,7 +92,7 @@
     """Check for one more attempt if the client stays, else for none while others are served."""
     pending = ingress.bridge._pending
     if how == "stays":
-        await until(lambda: len(attempts(ingress)) == attempts_before + 1)
+        await until(lambda: len(attempted_backends(ingress)) == attempts_before + 1)
         return
     request_id = b"%016x" % REQUEST_NUMBER
     await until(lambda: not any(p.request.id == request_id for p in pending.values()))
@@ -100,5 +100,5 @@
         backend.script = respond()
     # An attempt that was written before this one would have come by now.
     assert (await ingress.send(slow_request(number=900))).status == 200
-    assert len(attempts(ingress)) == attempts_before
+    assert len(attempted_backends(ingress)) == attempts_before
     assert REQUEST_NUMBER not in [int(p.request.id, 16) for p in pending.values()]
--- a/tests/support/discovery_agent.py
+++ b/tests/support/discovery_agent.py
@@ -123,7 +123,7 @@
         if released in self.held_polls:
             self.held_polls.remove(released)
 
-    def is_known_to(self, peer: Peer) -> bool:
+    def current_version_polled(self, peer: Peer) -> bool:
         """Return whether a poll at the peer has shown that its sender has the current version."""
         return any(parse_poll(data).known_version == self.version for data in peer.requests)
 
@@ -142,7 +142,7 @@
         """Send part of a response and leave the connection open."""
         write_if_open(writer, self.response(None)[:-20])
 
-    async def drip(self, peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
+    async def send_slowly(self, peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
         """Send a response byte by byte that does not end before the caller has left."""
         write_if_open(writer, b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n")
         for _ in range(1000):
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -28,7 +28,7 @@
     seen: str  # with quotes of the report in backquotes
     issue: str
 
-    def describes(self, report: str) -> bool:
+    def matches(self, report: str) -> bool:
         """Return whether the report of a failure is that of the known one."""
         return all(quote in report for quote in _QUOTE.findall(self.seen))
 
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -67,7 +67,7 @@
         self.requests: list[bytes] = []
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
-        self.closed = 0
+        self.connections_closed = 0
 
     async def __aenter__(self) -> Self:
         await self.start()
@@ -90,7 +90,7 @@
                 self.requests.append(request)
                 await self.script(self, request, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.closed += 1
+            self.connections_closed += 1
             writer.close()
 
     @property
@@ -104,14 +104,14 @@
         for writer in self.writers:
             writer.transport.abort()
 
-    async def refuse(self) -> None:
+    async def refuse_connections(self) -> None:
         """Reset the open connections and refuse new ones until `listen_again`; keep the port."""
         self.stop()
         await self.server.wait_closed()
         self._reserved = reserve_port(self.port)
 
     async def listen_again(self) -> None:
-        """Listen on the same port after `refuse`."""
+        """Listen on the same port after `refuse_connections`."""
         await self.start(self.port)
         self._reserved.close()
 
--- a/tests/test_attempt_rules.py
+++ b/tests/test_attempt_rules.py
@@ -33,7 +33,7 @@
         async with running_ingress(respond()) as ingress:
             client = await ingress.client()
             client.write(request(Request_Timeout="1.000"))
-            await until(lambda: connection_gate.arrived == 1)
+            await until(lambda: connection_gate.connect_calls == 1)
             await asyncio.sleep(DELAY_S)
             connection_gate.open()
             assert (await client.read_response()).status == 200
@@ -57,7 +57,7 @@
         async with running_ingress(respond()) as ingress:
             client = await ingress.client()
             client.write(request())
-            await until(lambda: connection_gate.arrived == 1)
+            await until(lambda: connection_gate.connect_calls == 1)
             set_backend_state(ingress, state)
             connection_gate.open()
             assert (await client.read_response()).status == 429
@@ -77,7 +77,7 @@
         async with running_ingress(respond(), respond()) as ingress:
             client = await ingress.client()
             client.write(request())
-            await until(lambda: connection_gate.arrived == 1)
+            await until(lambda: connection_gate.connect_calls == 1)
             (pending,) = ingress.bridge._pending.values()
             (attempt,) = pending.attempts
             attempt.written = True  # as if the first attempt had run, unknown to the policy
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -44,7 +44,7 @@
     ],
 )
 def test_an_entry_describes_its_own_failure_and_no_other(report: str, known: bool) -> None:
-    assert parse(LINE)[0].describes(report) is known
+    assert parse(LINE)[0].matches(report) is known
 
 
 def test_each_known_failure_is_a_test_of_this_tree() -> None:
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -124,7 +124,7 @@
     async def _begin_fault(self) -> None:
         self.discovery.script = self.agent_after  # sees the polls of the new process alone
         if self.case.fault == "refused":
-            await self.discovery.refuse()
+            await self.discovery.refuse_connections()
             returning = asyncio.create_task(listen_again_later(self.discovery))
             self.resources.callback(returning.cancel)
         elif self.case.fault:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -116,13 +116,13 @@
             await until(lambda: len(new_agent.requests) == 2 and new_counter.connections == 1)
             assert b"from=" not in new_agent.requests[0]
             assert b"from=2&" in new_agent.requests[1]
-            await until(lambda: ingress.discovery.closed == 1)
+            await until(lambda: ingress.discovery.connections_closed == 1)
             # The call on the old connection gets its reply there.
             ingress.counter.writers[0].write(b"$1\r\n4\r\n")
             await until(lambda: len(replies) == 1)
             assert replies[0].outcome is Outcome.OK
             assert replies[0].total == 4
-            await until(lambda: ingress.counter.closed == 1)
+            await until(lambda: ingress.counter.connections_closed == 1)
             ingress.counter_client.call(8, 1.0, 1000.0)
             await until(lambda: len(replies) >= 2)
             assert replies[1].outcome is Outcome.OK
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -95,7 +95,7 @@
                 filler.connect_ex(("127.0.0.1", port))
             outcomes = AttemptRecorder(port)
             assert (await outcomes.outcome())[0] is Outcome.CONNECT_FAILED
-            assert outcomes.backends.open_connections == 0
+            assert outcomes.pool_manager.open_connections == 0
             for filler in fillers:
                 filler.close()
 
--- a/tests/upstream/test_connection_races.py
+++ b/tests/upstream/test_connection_races.py
@@ -33,14 +33,14 @@
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
             attempt = outcomes.start()
-            await until(lambda: connection_gate.arrived == 1)
-            outcomes.backends.apply_update(
+            await until(lambda: connection_gate.connect_calls == 1)
+            outcomes.pool_manager.apply_update(
                 EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(1, state)])
             )
             assert not attempt.ended  # the list is taken in first
             connection_gate.open()
-            await until(lambda: attempt.ended and outcomes.backends.open_connections == 0)
-            assert [(a, o) for a, o, _ in outcomes.ended] == [(attempt, Outcome.SKIPPED)]
+            await until(lambda: attempt.ended and outcomes.pool_manager.open_connections == 0)
+            assert [(a, o) for a, o, _ in outcomes.ended_attempts] == [(attempt, Outcome.SKIPPED)]
             assert peer.requests == []
             assert peer.connections == 0
 
@@ -54,11 +54,11 @@
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
             attempt = outcomes.start()
-            await until(lambda: connection_gate.arrived == 1)
-            outcomes.backends.update_endpoint(1, ("127.0.0.1", 1))
+            await until(lambda: connection_gate.connect_calls == 1)
+            outcomes.pool_manager.update_endpoint(1, ("127.0.0.1", 1))
             connection_gate.open()
             await until(lambda: attempt.ended)
-            assert outcomes.ended[0][1] is Outcome.SKIPPED
+            assert outcomes.ended_attempts[0][1] is Outcome.SKIPPED
             assert peer.requests == []
 
     run(test())
@@ -78,14 +78,14 @@
                     super().__init__(pool, sock)
                     assert attempt.connect_task is None
                     assert not attempt.ended
-                    outcomes.backends.apply_update(
+                    outcomes.pool_manager.apply_update(
                         EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(1, EndpointStatus.GONE)])
                     )
 
             monkeypatch.setattr("sumacpost.upstream.pool.BackendConnection", Leaving)
             attempt = outcomes.start()
-            await until(lambda: attempt.ended and outcomes.backends.open_connections == 0)
-            assert outcomes.ended[0][1] is Outcome.SKIPPED
+            await until(lambda: attempt.ended and outcomes.pool_manager.open_connections == 0)
+            assert outcomes.ended_attempts[0][1] is Outcome.SKIPPED
             assert peer.requests == []
 
     run(test())
@@ -109,7 +109,7 @@
         ) as ingress:
             client = await ingress.client()
             client.write(request(Request_Timeout="20.000"))
-            await until(lambda: connection_gate.arrived == 1)
+            await until(lambda: connection_gate.connect_calls == 1)
             ((pool, _),) = [(p, a) for p in ingress.pool_manager._pools.values() for a in p.waiting]
             drained = next(n for n, b in enumerate(ingress.backends) if b.port == pool.endpoint[1])
             changes.set_result(
@@ -123,7 +123,7 @@
                     }
                 ).encode()
             )
-            await until(lambda: connection_gate.arrived == 2)
+            await until(lambda: connection_gate.connect_calls == 2)
             connection_gate.open()
             status, _, body = await client.read_response()
             assert (status, body) == (200, (b"second", b"first")[drained])
@@ -213,7 +213,7 @@
             outcomes = AttemptRecorder(peer.port)
             got, _ = await outcomes.outcome(b"x" * 50_000_000)
             assert got is outcome
-            assert outcomes.backends.open_connections == 0
+            assert outcomes.pool_manager.open_connections == 0
 
     run(test())
 
@@ -225,12 +225,12 @@
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
             await outcomes.outcome()
-            (connection,) = outcomes.backends._pools[1].idle
+            (connection,) = outcomes.pool_manager._pools[1].idle
             connection.idle_since = asyncio.get_running_loop().time() - 0.007
             assert outcomes.start().connection is None  # it gets a connection of its own
             connection.idle_since = asyncio.get_running_loop().time() - 0.02
             assert outcomes.start().connection is connection
-            await until(lambda: len(outcomes.ended) == 3)
+            await until(lambda: len(outcomes.ended_attempts) == 3)
 
     run(test())
 
@@ -244,13 +244,13 @@
             first = outcomes.start()
             await until(lambda: len(peer.requests) == 1)
             second = outcomes.start()
-            (old,) = outcomes.backends._pools.values()
+            (old,) = outcomes.pool_manager._pools.values()
             assert second.pool is old
-            outcomes.backends.update_endpoint(1, ("127.0.0.1", 1))
-            outcomes.backends.cancel(second)
+            outcomes.pool_manager.update_endpoint(1, ("127.0.0.1", 1))
+            outcomes.pool_manager.cancel(second)
             assert not old.waiting
             peer.writers[0].write(OK_RESPONSE)
-            await until(lambda: first.ended and outcomes.backends.open_connections == 0)
+            await until(lambda: first.ended and outcomes.pool_manager.open_connections == 0)
             assert len(peer.requests) == 1
 
     run(test())
@@ -261,8 +261,8 @@
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
             await outcomes.outcome()
-            outcomes.backends.update_endpoint(1, ("127.0.0.1", peer.port), 7.0)
-            assert outcomes.backends.open_connections == 0
+            outcomes.pool_manager.update_endpoint(1, ("127.0.0.1", peer.port), 7.0)
+            assert outcomes.pool_manager.open_connections == 0
             assert (await outcomes.outcome())[0] is Outcome.OK
             assert peer.connections == 2
 
--- a/tests/upstream/test_forwarding.py
+++ b/tests/upstream/test_forwarding.py
@@ -71,7 +71,7 @@
             began = loop.time()
             assert (await ingress.send(request(cls, Request_Timeout="0.400"))).status == status
             assert loop.time() - began < 0.4
-            await until(lambda: ingress.backends[0].closed == 1)
+            await until(lambda: ingress.backends[0].connections_closed == 1)
             assert len(ingress.backends[0].requests) == 1  # nothing is tried in the last moment
 
     run(test())
@@ -84,7 +84,7 @@
             client.write(request())
             await until(lambda: bool(ingress.backends[0].requests))
             client.writer.close()
-            await until(lambda: ingress.backends[0].closed == 1)
+            await until(lambda: ingress.backends[0].connections_closed == 1)
 
     run(test())
 
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -23,9 +23,9 @@
             await until(lambda: len(peer.requests) == 2)
             for writer in peer.writers:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-                await until(lambda: len(outcomes.ended) in (1, 2))
-            await until(lambda: len(outcomes.ended) == 2)
-            last = outcomes.backends._pools[1].idle[-1]
+                await until(lambda: len(outcomes.ended_attempts) in (1, 2))
+            await until(lambda: len(outcomes.ended_attempts) == 2)
+            last = outcomes.pool_manager._pools[1].idle[-1]
             await asyncio.sleep(2 * REUSE_DELAY_S)
             third = outcomes.start()
             assert third.connection is last
@@ -44,7 +44,7 @@
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
             await outcomes.outcome()
-            connection = outcomes.backends._pools[1].idle[-1]
+            connection = outcomes.pool_manager._pools[1].idle[-1]
             assert connection.is_usable()
             # the close happens at the other end while this loop does nothing else
             other = peer.writers[0].transport.get_extra_info("socket")
@@ -73,7 +73,7 @@
             peer.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             await until(lambda: first.ended and second.connection is not None)
             # the failure of the new connection must not end the attempt
-            outcomes.backends._pools[1]._on_connect_failed(second)
+            outcomes.pool_manager._pools[1]._on_connect_failed(second)
             await until(lambda: len(peer.requests) == 2)
             assert peer.connections == 1
             assert not second.ended
@@ -87,13 +87,13 @@
     async def test() -> None:
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
-            pool = outcomes.backends._pools[1]
+            pool = outcomes.pool_manager._pools[1]
             first = Attempt(None, 0, 1, lambda: PAYLOAD, 0.0)
             pool.waiting.append(first)  # its connection has not come up yet
             assert (await outcomes.outcome())[0] is Outcome.OK
             await until(lambda: first.ended)  # after the reuse delay
             pool._on_connect_failed(first)
-            assert [o for a, o, _ in outcomes.ended if a is first] == [Outcome.OK]
+            assert [o for a, o, _ in outcomes.ended_attempts if a is first] == [Outcome.OK]
             assert peer.connections == 1
 
     run(test())
@@ -108,7 +108,7 @@
         outcomes = AttemptRecorder(server.sockets[0].getsockname()[1])
         for _ in range(20):
             assert (await outcomes.outcome())[0] in (Outcome.CONNECT_FAILED, Outcome.RESET)
-        assert outcomes.backends.open_connections == 0
+        assert outcomes.pool_manager.open_connections == 0
         server.close()
 
     run(test())
@@ -120,10 +120,10 @@
             outcomes = AttemptRecorder(peer.port)
             attempt = outcomes.start()
             await until(lambda: bool(peer.requests))
-            outcomes.backends.cancel(attempt)
-            await until(lambda: peer.closed == 1)
-            assert outcomes.backends.open_connections == 0
-            assert not outcomes.ended
+            outcomes.pool_manager.cancel(attempt)
+            await until(lambda: peer.connections_closed == 1)
+            assert outcomes.pool_manager.open_connections == 0
+            assert not outcomes.ended_attempts
 
     run(test())
 
@@ -132,13 +132,13 @@
     async def test() -> None:
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
-            outcomes.backends.cancel(outcomes.start())
+            outcomes.pool_manager.cancel(outcomes.start())
             await until(
-                lambda: outcomes.backends.open_connections == 0
+                lambda: outcomes.pool_manager.open_connections == 0
             )  # nor is its connection waited for
             assert (await outcomes.outcome())[0] is Outcome.OK
             assert len(peer.requests) == 1
-            assert len(outcomes.ended) == 1
+            assert len(outcomes.ended_attempts) == 1
 
     run(test())
 
@@ -148,11 +148,11 @@
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port, idle_timeout_s=0.0)
             await outcomes.outcome()
-            assert outcomes.backends.open_connections == 1
+            assert outcomes.pool_manager.open_connections == 1
             await asyncio.sleep(0.01)
-            outcomes.backends.close_stale_connections()
-            assert outcomes.backends.open_connections == 0
-            await until(lambda: peer.closed == 1)
+            outcomes.pool_manager.close_stale_connections()
+            assert outcomes.pool_manager.open_connections == 0
+            await until(lambda: peer.connections_closed == 1)
 
     run(test())
 
@@ -165,16 +165,16 @@
         for peer in peers:
             await peer.start()
         outcomes = AttemptRecorder(peers[0].port, max_connections=2)
-        outcomes.backends.update_endpoint(2, ("127.0.0.1", peers[1].port))
+        outcomes.pool_manager.update_endpoint(2, ("127.0.0.1", peers[1].port))
         outcomes.start()
         idle = Attempt(None, 0, 2, lambda: PAYLOAD, 0.0)
-        outcomes.backends.start(idle)
+        outcomes.pool_manager.start(idle)
         await until(lambda: idle.ended)
         outcomes.start()
         await until(lambda: len(peers[0].requests) == 2)
-        await until(lambda: peers[1].closed == 1)
+        await until(lambda: peers[1].connections_closed == 1)
         assert (await outcomes.outcome())[0] is Outcome.CONNECT_FAILED
-        assert outcomes.backends.open_connections == 2
+        assert outcomes.pool_manager.open_connections == 2
         for peer in peers:
             peer.stop()
 
@@ -192,11 +192,11 @@
         _, response = await outcomes.outcome()
         assert response is not None
         assert response.body == b"old"
-        outcomes.backends.update_endpoint(1, ("127.0.0.1", new.port))
+        outcomes.pool_manager.update_endpoint(1, ("127.0.0.1", new.port))
         _, response = await outcomes.outcome()
         assert response is not None
         assert response.body == b"new"
-        await until(lambda: old.closed == 1)
+        await until(lambda: old.connections_closed == 1)
         for peer in (old, new):
             peer.stop()
 
--- a/tests/upstream/test_stalled_responses.py
+++ b/tests/upstream/test_stalled_responses.py
@@ -62,7 +62,7 @@
             }
             assert len(ids) == 1
             # the silent one is not waited for any more
-            await until(lambda: sum(b.closed for b in ingress.backends) == 1)
+            await until(lambda: sum(b.connections_closed for b in ingress.backends) == 1)
 
     run(test())
 
--- a/tests/upstream/test_unbounded_responses.py
+++ b/tests/upstream/test_unbounded_responses.py
@@ -54,7 +54,7 @@
             if outcome is Outcome.OK:
                 assert response is not None
                 assert not response.keep_alive
-            await until(lambda: outcomes.backends.open_connections == 0)
+            await until(lambda: outcomes.pool_manager.open_connections == 0)
 
     run(test())
 
