--- a/sumacpost/upstream/__init__.py
+++ b/sumacpost/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The backend side: connection pools, attempts and load reports."""
+"""The side towards the backends: connection pools, attempts and load reports."""
--- a/sumacpost/upstream/attempt.py
+++ b/sumacpost/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request on a backend, and the outcome that a response gives it."""
+"""Attempts of a request on a backend, and the outcome that a response implies."""
 
 from __future__ import annotations
 
@@ -13,58 +13,60 @@
 
 
 class AttemptState(Enum):
-    """Where an attempt is on its way to its outcome."""
+    """The stages of an attempt."""
 
     CREATED = "created"
-    WAITING = "waiting"  # queued in its pool, for a connection
-    IN_FLIGHT = "in flight"  # written, or being written, on its connection
-    SKIPPED = "skipped"  # never to be written; its outcome is reported in the next turn of the loop
-    ENDED = "ended"  # its outcome is reported, or nobody waits for one
+    WAITING = "waiting"  # queued in its pool until a connection is available
+    IN_FLIGHT = "in flight"  # its request has been written to a connection, or is being written
+    SKIPPED = "skipped"  # will not be written; a later event loop iteration reports the outcome
+    ENDED = "ended"  # its outcome has been reported, or the attempt was cancelled
 
 
 class AttemptQueue(Protocol):
-    """What an attempt waits in: a connection pool."""
+    """The queue in which an attempt waits for a connection: a connection pool."""
 
     def remove_waiting(self, attempt: Attempt) -> None:
-        """Take an attempt out that has not been written."""
+        """Remove an attempt that has not been written."""
 
 
 class AttemptConnection(Protocol):
-    """What an attempt is written on: a connection."""
+    """The connection to which an attempt is written."""
 
     def abandon_attempt(self) -> None:
-        """Close the connection without an outcome for the attempt that it carries."""
+        """Close the connection without reporting an outcome for its attempt."""
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Attempt:
-    """One attempt of a request; it ends with exactly one outcome, unless it is cancelled."""
+    """One attempt of a request. It ends with exactly one outcome, unless it is cancelled."""
 
-    owner: object  # whatever the outcome is for; handed back untouched
-    index: int  # among the attempts of its request, from 0
+    owner: object  # the request of the attempt; returned unchanged with the outcome
+    index: int  # position among the attempts of the request, from 0
     backend: BackendId
-    encode: Callable[[], bytes]  # returns the whole request as it is to be written now
-    started_at_ms: float  # by the owner's clock
-    retryable: bool = True  # may be followed by another attempt even if the backend ran it
+    encode: Callable[[], bytes]  # returns the complete request, encoded at the time of writing
+    started_at_ms: float  # ms, on the clock of the owner
+    retryable: bool = True  # another attempt may follow even if the backend ran this one
     state: AttemptState = AttemptState.CREATED
-    outcome: Outcome | None = None  # noted by the owner
-    written: bool = False  # bytes of it have been handed to a connection
+    outcome: Outcome | None = None  # set by the owner
+    written: bool = False  # bytes of the request have been passed to a connection
     pool: AttemptQueue | None = None
-    connection: AttemptConnection | None = None  # only while it is in flight
-    connect_task: asyncio.Task[None] | None = None  # only while that may be cancelled
+    connection: AttemptConnection | None = None  # None unless the attempt is in flight
+    connect_task: asyncio.Task[None] | None = (
+        None  # None once connecting can no longer be cancelled
+    )
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the backend may have run it, or may yet."""
+        """Whether the backend may have run the request or may still run it."""
         return self.written and (self.outcome is None or not self.outcome.never_ran)
 
     @property
     def ended(self) -> bool:
-        """Whether no outcome of it will be reported any more."""
+        """Whether the attempt has ended, so that no further outcome is reported."""
         return self.state is AttemptState.ENDED
 
     def mark_ended(self) -> bool:
-        """Mark it as ended; return False if it had ended before."""
+        """Mark the attempt as ended; return False if it had already ended."""
         self.connection = None
         if self.state is AttemptState.ENDED:
             return False
@@ -76,9 +78,9 @@
 
 
 def classify_response(response: Response) -> Outcome:
-    """Return the outcome of a complete response by its status and its Not-Started header.
+    """Return the outcome implied by the status and the Not-Started header of a complete response.
 
-    A status that the protocol does not name counts as an error: the request may have run.
+    A status that the protocol does not define counts as an error: the request may have run.
     """
     if response.status == HTTP_OK:
         return Outcome.OK
--- a/sumacpost/upstream/connection.py
+++ b/sumacpost/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend; it carries one attempt at a time."""
+"""A connection to a backend, which carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
 
 log = logging.getLogger(__name__)
 
-# A response that has begun and brings nothing for so long will not be completed.
+# Longest pause in an incomplete response. After a longer one the response is taken to be lost.
 RESPONSE_STALL_TIMEOUT_S = 0.3
 
 
 class ConnectionState(Enum):
-    """What a connection is doing."""
+    """The states of a connection."""
 
     IDLE = "idle"
-    WRITING = "writing"  # the request; the backend can't run what it has not received whole
-    WRITTEN = "written"  # the request, whole: the backend may be running it
+    WRITING = "writing"  # a request is partly written; the backend can't run an incomplete request
+    WRITTEN = "written"  # the request is completely written; the backend may be running it
     CLOSED = "closed"
 
 
 class CloseReason(Enum):
-    """Why a connection to a backend has ended; the values are for the log."""
+    """Why a connection to a backend was closed; the values appear in the log."""
 
-    LOST = "lost"  # the backend closed it, or the path broke
-    STALE = "stale"  # idle for too long, or found closed as it was to be used
-    EVICTED = "evicted"  # its place was needed
-    RETIRED = "retired"  # its backend has moved, restarted or gone, or the ingress ends
+    LOST = "lost"  # closed by the backend, or broken on the network path
+    STALE = "stale"  # idle for too long, or found closed when it was to be reused
+    EVICTED = "evicted"  # closed to keep within the connection limit
+    RETIRED = "retired"  # the backend moved, restarted or was removed, or the ingress stops
     ATTEMPT_ABANDONED = "attempt_abandoned"
     INVALID_RESPONSE = "invalid_response"
     RESPONSE_STALLED = "response_stalled"
-    RESPONSE_WAS_LAST = "response_was_last"  # the response leaves it of no further use
+    RESPONSE_WAS_LAST = "response_was_last"  # the connection can't be reused after this response
 
 
 class ConnectionOwner(Protocol):
-    """What a connection reports to: the pool that it belongs to."""
+    """The pool that a connection belongs to and reports to."""
 
     endpoint: Address
     max_body_bytes: int
@@ -55,37 +55,37 @@
     recorder: EventRecorder
 
     def add_idle(self, connection: BackendConnection) -> None:
-        """Keep a connection that is free for another attempt."""
+        """Add a connection that is free for another attempt."""
 
     def remove_connection(self, connection: BackendConnection) -> None:
-        """Drop a connection that is closing."""
+        """Remove a connection that is being closed."""
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
         """Report the outcome of an attempt."""
 
 
 class BackendConnection(asyncio.Protocol):
-    """A connection to a backend, as the protocol of its transport."""
+    """A connection to a backend, as the asyncio protocol of its transport."""
 
     def __init__(self, pool: ConnectionOwner, sock: socket.socket) -> None:
         self.attempt: Attempt | None = None
-        self.idle_since = 0.0  # by the loop's clock; 0 until it is parked for the first time
+        self.idle_since = 0.0  # s, on the clock of the event loop; 0 before the first use ends
         self._pool = pool
         self._sock = sock
         self._state = ConnectionState.IDLE
-        self._request_started_at = 0.0  # by the loop's clock
+        self._request_started_at = 0.0  # s, on the clock of the event loop
         self._reader = ResponseReader(pool.max_body_bytes)
         self._stall_timer: Timer | None = None
         self._transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the transport up to say when the kernel has taken the last byte of a request."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's does not inherit from it
-        # without a buffer, resume_writing is called only once the kernel has all of it
+        """Configure the transport to report when the kernel has accepted a whole request."""
+        self._transport = cast(asyncio.Transport, transport)  # the one of uvloop is no subclass
+        # with a limit of 0, resume_writing is called only once the kernel has accepted all bytes
         self._transport.set_write_buffer_limits(high=0)
 
     def start(self, attempt: Attempt) -> None:
-        """Write the request of an attempt; from its last byte on the backend may run it."""
+        """Write the request of an attempt. The backend may run it once its last byte is written."""
         self.attempt = attempt
         attempt.connection = self
         attempt.state = AttemptState.IN_FLIGHT
@@ -97,14 +97,15 @@
             self._state = ConnectionState.WRITTEN
 
     def resume_writing(self) -> None:
-        """Note that the kernel has taken the whole request."""
+        """Record that the kernel has accepted the whole request."""
         if self._state is ConnectionState.WRITING:
             self._state = ConnectionState.WRITTEN
 
     def is_usable(self) -> bool:
         """Return whether another request may be written.
 
-        Looks at the socket itself: the peer may have closed it without the loop having read that.
+        Checks the socket itself, since the peer may have closed the connection before the event
+        loop has read the end of the stream.
         """
         if self._state is ConnectionState.CLOSED or self._transport.is_closing():
             return False
@@ -114,45 +115,45 @@
             return True
         except OSError:
             pass
-        return False  # closed, or bytes that belong to no request
+        return False  # closed, or unexpected bytes without a request
 
     def data_received(self, data: bytes) -> None:
-        """Read on in the response, and end the attempt once that is complete."""
+        """Parse more of the response, and end the attempt once the response is complete."""
         try:
             response = self._reader.feed(data)
         except ResponseError as error:
             self._reject_response(error)
             return
         if self.attempt is None:
-            self._reject_response("bytes without a request")
+            self._reject_response("bytes received without a request")
             return
         if self._stall_timer is not None:
             self._stall_timer.cancel()
             self._stall_timer = None
         if response is None:
-            # a wrong Content-Length may promise bytes that never come on a connection kept open
+            # a wrong Content-Length may announce bytes that never arrive on an open connection
             self._stall_timer = Timer(RESPONSE_STALL_TIMEOUT_S, self._on_response_stalled)
             return
-        # after a response that overtook the request's last byte the connection can't be reused
+        # a response sent before the last byte of the request rules out reuse of the connection
         reusable = response.keep_alive and self._state is ConnectionState.WRITTEN
         self._end_attempt(classify_response(response), response, reusable)
 
     def eof_received(self) -> None:
-        """End the attempt with its response, if the end of the backend's sending completes that.
+        """End the attempt if the end of the stream completes its response.
 
-        After a reset this is not called: it cuts a response short.
+        The event loop does not call this after a reset, which truncates the response.
         """
         response = self._reader.feed_eof()
         if response is not None and self.attempt is not None:
             self._end_attempt(classify_response(response), response, reusable=False)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the attempt in flight, if there is one."""
-        del exc  # a connection that the peer closed and one that it reset count alike
+        """End the attempt in flight, if any, because the connection is closed."""
+        del exc  # an orderly close and a reset have the same effect
         self._fail(CloseReason.LOST)
 
     def close(self, reason: CloseReason) -> None:
-        """Close at once; nothing more is read or reported."""
+        """Close the connection immediately, without reading further or reporting an outcome."""
         if self._state is ConnectionState.CLOSED:
             return
         self._pool.recorder.record(
@@ -166,14 +167,14 @@
         if self._stall_timer is not None:
             self._stall_timer.cancel()
         self._pool.remove_connection(self)
-        # the transport closes only in the next turn of the loop, and the backend should know before
-        # another attempt of the same request is written
+        # The transport closes the socket only in the next iteration of the event loop. The backend
+        # has to see the end before another attempt of the same request is written.
         with suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._transport.abort()
 
     def abandon_attempt(self) -> None:
-        """Close the connection without an outcome for the attempt that it carries."""
+        """Close the connection without reporting an outcome for its attempt."""
         self.attempt = None
         self.close(CloseReason.ATTEMPT_ABANDONED)
 
@@ -190,7 +191,11 @@
         self._fail(CloseReason.RESPONSE_STALLED)
 
     def _fail(self, reason: CloseReason) -> None:
-        """Close, and end the attempt: the backend may have run it if it was written whole."""
+        """Close the connection and end the attempt.
+
+        The outcome is RESET after a completely written request, which the backend may have run,
+        and CONNECT_FAILED otherwise.
+        """
         written = self._state is ConnectionState.WRITTEN
         self.close(reason)
         if self.attempt is not None and self.idle_since and not self._reader.response_started:
@@ -202,7 +207,7 @@
         self._end_attempt(outcome, None, reusable=False)
 
     def _end_attempt(self, outcome: Outcome, response: Response | None, reusable: bool) -> None:
-        """Free or close the connection, then report the outcome of the attempt that it carried."""
+        """Make the connection idle or close it, then report the outcome of its attempt."""
         if self._stall_timer is not None:
             self._stall_timer.cancel()
             self._stall_timer = None
--- a/sumacpost/upstream/pool.py
+++ b/sumacpost/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend, and the attempts that wait for one."""
+"""The connections to one backend, and the attempts that wait for a connection."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from sumacpost.upstream.connection import BackendConnection, CloseReason
 from sumacpost.upstream.reuse_limit import ReuseLimit
 
-# From a response to the next request on its connection: a backend may send a second response behind
-# the first, some milliseconds later.
+# Time from a response to the next request on its connection: a backend may send a second response
+# some milliseconds after the first.
 REUSE_DELAY_S = 0.01
 
 
 class PoolOwner(Protocol):
-    """What the pools of all backends share."""
+    """The settings, limits and callbacks that the pools of all backends share."""
 
     max_body_bytes: int
     connect_timeout_s: float
@@ -33,14 +33,14 @@
     may_write: Callable[[Attempt], bool]
 
     def reserve_connection(self) -> bool:
-        """Count a new connection; return False if the bound does not allow one."""
+        """Count a new connection; return False if the connection limit does not allow one."""
 
     def release_connection(self) -> None:
-        """Count a connection as closed."""
+        """Stop counting a connection that is closed."""
 
 
 class ConnectionPool:
-    """The connections to one backend at one address."""
+    """The connections to one incarnation of a backend, at one address."""
 
     def __init__(self, endpoint: Address, owner: PoolOwner, up_since_ms: float) -> None:
         self.endpoint = endpoint
@@ -48,13 +48,13 @@
         self.max_body_bytes = owner.max_body_bytes
         self.reuse_limit = owner.reuse_limit
         self.recorder = owner.recorder
-        self.idle: deque[BackendConnection] = deque()  # the most recently used last
-        self.waiting: deque[Attempt] = deque()  # the one that has waited longest first
+        self.idle: deque[BackendConnection] = deque()  # in order of their last use
+        self.waiting: deque[Attempt] = deque()  # in order of arrival
         self._owner = owner
         self._retired = False
 
     def start(self, attempt: Attempt) -> None:
-        """Write an attempt on the connection used last, or on a new one."""
+        """Write an attempt to the most recently used idle connection, or to a new one."""
         attempt.pool = self
         if attempt.retryable or self.reuse_limit.allows_non_retryable:
             connection = self._take_reusable()
@@ -71,17 +71,18 @@
             loop.call_soon(self._on_connect_failed, attempt)
 
     def remove_waiting(self, attempt: Attempt) -> None:
-        """Take an attempt out that has not been written; its new connection is not waited for."""
+        """Remove an attempt that has not been written, and stop connecting for it."""
         if attempt.state is AttemptState.WAITING:
             self.waiting.remove(attempt)
         if attempt.connect_task is not None:
             attempt.connect_task.cancel()
 
     def skip_waiting(self) -> None:
-        """End all attempts that have not been written: the backend takes no new requests.
+        """Skip all attempts that have not been written, since the backend accepts no new requests.
 
-        A new connection could come up only after the time that a draining backend gives. The
-        outcomes are reported in the next turn of the loop, when the whole update has been applied.
+        A new connection might be established only after the grace period of a draining backend. The
+        outcomes are reported in the next iteration of the event loop, after the whole update has
+        been applied.
         """
         loop = asyncio.get_running_loop()
         while self.waiting:
@@ -92,7 +93,7 @@
             loop.call_soon(self.end_attempt, attempt, Outcome.SKIPPED, None)
 
     def add_idle(self, connection: BackendConnection) -> None:
-        """Keep a free connection; after the reuse delay the attempt waiting longest gets it."""
+        """Add a free connection, which serves a waiting attempt after the reuse delay."""
         if self._retired:
             connection.close(CloseReason.RETIRED)
             return
@@ -103,30 +104,30 @@
             loop.call_later(REUSE_DELAY_S + TIMER_SLACK_S, self._serve_waiting)
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
-        """Report the outcome of an attempt, unless it has ended before."""
+        """Report the outcome of an attempt, unless it has already ended."""
         if attempt.mark_ended():
             self._owner.on_attempt_ended(attempt, outcome, response)
 
     def remove_connection(self, connection: BackendConnection) -> None:
-        """Drop a connection that is closing."""
+        """Remove a connection that is being closed."""
         self._owner.release_connection()
         if connection in self.idle:
             self.idle.remove(connection)
 
     def close_idle(self, before: float) -> None:
-        """Close the connections that have been idle since before a time of the loop's clock."""
+        """Close the connections idle since before a time, in seconds of the event loop's clock."""
         while self.idle and self.idle[0].idle_since < before:
             self.idle[0].close(CloseReason.STALE)
 
     def retire(self) -> None:
-        """Close the pool: attempts in flight go on, and their connections close with them."""
+        """Close the pool. Attempts in flight continue; each connection closes after its attempt."""
         self._retired = True
         self.skip_waiting()
         while self.idle:
             self.idle[0].close(CloseReason.RETIRED)
 
     def _take_reusable(self) -> BackendConnection | None:
-        """Take the connection used last out of those that may be reused now."""
+        """Remove and return the most recently used connection that may be reused now, if any."""
         now = asyncio.get_running_loop().time()
         self.close_idle(now - self.reuse_limit.max_reuse_idle_s)
         for connection in list(reversed(self.idle)):
@@ -139,7 +140,7 @@
         return None
 
     def _serve_waiting(self) -> None:
-        """Write the attempts that wait on the connections that may be reused now."""
+        """Write waiting attempts to the connections that may be reused now."""
         for attempt in list(self.waiting):
             if not self._owner.may_write(attempt):
                 continue
@@ -150,7 +151,7 @@
             connection.start(attempt)
 
     async def _connect(self, attempt: Attempt) -> None:
-        """Connect for a waiting attempt; if that needs it no longer, others get the connection."""
+        """Connect for a waiting attempt; if it needs no connection any more, add this one as idle."""
         try:
             connection = await self._open_connection(attempt)
         except (OSError, TimeoutError):
@@ -158,8 +159,8 @@
             self._owner.release_connection()
             self._on_connect_failed(attempt)
             return
-        # not for whichever attempt has waited longest: this one would be left with no connection
-        # on its way
+        # The connection serves its own attempt, not the one that has waited longest: its own would
+        # otherwise be left without a connection being established.
         if attempt.state is not AttemptState.WAITING or not self._owner.may_write(attempt):
             self.add_idle(connection)
         elif connection.is_usable():
@@ -170,13 +171,13 @@
             self._on_connect_failed(attempt)
 
     async def _open_connection(self, attempt: Attempt) -> BackendConnection:
-        """Connect within the timeout; raise OSError or TimeoutError if that fails."""
+        """Open a connection within the timeout; raise OSError or TimeoutError on failure."""
         loop = asyncio.get_running_loop()
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         connection = None
         try:
             await self._connect_with_timeout(sock)
-            # no longer to be cancelled: the connection would be released twice
+            # cancelling the task from here on would release the connection twice
             attempt.connect_task = None
             _, connection = await loop.create_connection(
                 lambda: BackendConnection(self, sock), sock=sock
@@ -187,29 +188,29 @@
                 sock.close()
 
     async def _connect_with_timeout(self, sock: socket.socket) -> None:
-        """Connect a socket; raise OSError or TimeoutError if that fails."""
+        """Connect a socket within the timeout; raise OSError or TimeoutError on failure."""
         try:
             async with asyncio.timeout(self._owner.connect_timeout_s):
                 await asyncio.get_running_loop().sock_connect(sock, self.endpoint)
         except TimeoutError:
-            # in a loop that was held up the timeout may come before the connection is seen
+            # after a delay of the event loop the timeout may fire before the connection is noticed
             if not _is_connected(sock):
                 raise
 
     def _on_connect_done(self, task: asyncio.Task[None]) -> None:
-        """Release the connection of a task that was cancelled, perhaps before its first step."""
+        """Release the connection of a cancelled task, which may not have run its first step."""
         if task.cancelled():
             self._owner.release_connection()
 
     def _on_connect_failed(self, attempt: Attempt) -> None:
-        """End an attempt for which no connection came up, if no other has served it."""
+        """End an attempt whose connection failed, unless another connection has served it."""
         if attempt.state is AttemptState.WAITING:
             self.waiting.remove(attempt)
             self.end_attempt(attempt, Outcome.CONNECT_FAILED, None)
 
 
 def _is_connected(sock: socket.socket) -> bool:
-    """Return whether a connection has come up, which the event loop may not have seen yet."""
+    """Return whether a socket is connected, even if the event loop has not noticed it yet."""
     try:
         sock.getpeername()
     except OSError:
--- a/sumacpost/upstream/pool_manager.py
+++ b/sumacpost/upstream/pool_manager.py
@@ -1,4 +1,4 @@
-"""The connection pools of all backends, within one bound on their connections."""
+"""The connection pools of all backends, with a common limit on their connections."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 class PoolManager:
-    """The pools of all backends that a policy may choose.
+    """The connection pools of all backends that the policy may choose.
 
-    max_connections bounds the connections to all backends together, those coming up included.
-    backend_idle_timeout_s is after how long backends close idle connections.
-    on_attempt_ended gets each attempt with its outcome, and the response if there is one.
-    may_write is asked before an attempt that has waited is written; one that may not be is ended,
-    or will be, by the one that was asked.
+    max_connections limits the connections to all backends together, including those that are being
+    established. backend_idle_timeout_s is the time after which backends close idle connections, in
+    seconds. on_attempt_ended is called with each attempt, its outcome, and the response if there is
+    one. may_write is called before a waiting attempt is written; if it returns False, it has ended
+    the attempt or arranged for its end.
     """
 
     def __init__(
@@ -51,44 +51,44 @@
         self.may_write = may_write
         self.recorder = recorder or EventRecorder()
         self.reuse_limit = ReuseLimit(backend_idle_timeout_s)
-        self.open_connections = 0  # those coming up included
+        self.open_connections = 0  # including those that are being established
         self._max_connections = max_connections
         self._pools: dict[BackendId, ConnectionPool] = {}
 
     def update_endpoint(
         self, backend: BackendId, endpoint: Address, up_since_ms: float = 0.0
     ) -> None:
-        """Set the address of a backend; one that has moved or restarted gets a new pool."""
-        known = self._pools.get(backend)
-        if known is not None:
-            if known.endpoint == endpoint and known.up_since_ms >= up_since_ms:
+        """Set the address of a backend; create a new pool if the backend has moved or restarted."""
+        existing = self._pools.get(backend)
+        if existing is not None:
+            if existing.endpoint == endpoint and existing.up_since_ms >= up_since_ms:
                 return
-            known.retire()
+            existing.retire()
         self._pools[backend] = ConnectionPool(endpoint, self, up_since_ms)
 
     def apply_update(self, update: EndpointListUpdate) -> None:
-        """Reject what waits for draining backends, and retire the pools of those that are gone.
+        """Skip attempts waiting for draining backends, and retire the pools of removed backends.
 
-        Gone is also what a complete list does not name.
+        A backend that a full or cached list does not name is removed as well.
         """
         for entry in update.entries:
             if entry.state is EndpointStatus.DRAINING and entry.backend in self._pools:
                 self._pools[entry.backend].skip_waiting()
-        gone = [entry.backend for entry in update.entries if entry.state is EndpointStatus.GONE]
+        removed = [entry.backend for entry in update.entries if entry.state is EndpointStatus.GONE]
         if update.kind in (UpdateKind.FULL, UpdateKind.CACHED):
             listed = {entry.backend for entry in update.entries}
-            gone += [backend for backend in self._pools if backend not in listed]
-        for backend in gone:
+            removed += [backend for backend in self._pools if backend not in listed]
+        for backend in removed:
             pool = self._pools.pop(backend, None)
             if pool is not None:
                 pool.retire()
 
     def start(self, attempt: Attempt) -> None:
-        """Begin an attempt; its outcome is reported later, never within this call."""
+        """Start an attempt; its outcome is reported later, never within this call."""
         self._pools[attempt.backend].start(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """End an attempt without reporting an outcome; the connection that carries it closes."""
+        """End an attempt without reporting an outcome, and close the connection that carries it."""
         if attempt.connection is not None:
             attempt.connection.abandon_attempt()
         elif attempt.pool is not None:
@@ -96,7 +96,7 @@
         attempt.mark_ended()
 
     def skip(self, attempt: Attempt) -> None:
-        """End an attempt that is not to be written; its outcome is reported, though not at once."""
+        """Skip an attempt; its outcome is reported in the next iteration of the event loop."""
         if attempt.pool is not None:
             attempt.pool.remove_waiting(attempt)
         attempt.state = AttemptState.SKIPPED
@@ -107,20 +107,20 @@
             self.on_attempt_ended(attempt, Outcome.SKIPPED, None)
 
     def reserve_connection(self) -> bool:
-        """Count a new connection; return False if the bound does not allow one."""
+        """Count a new connection; return False if the connection limit does not allow one."""
         if self.open_connections >= self._max_connections and not self._evict_longest_idle():
             return False
         self.open_connections += 1
         return True
 
     def release_connection(self) -> None:
-        """Count a connection as closed."""
+        """Stop counting a connection that is closed."""
         self.open_connections -= 1
 
     def close_stale_connections(self) -> None:
-        """Close idle connections before the backends do.
+        """Close idle connections before the backends close them.
 
-        A request that crosses the close by a backend would end as a reset.
+        A request that is written while a backend closes its connection would end as a reset.
         """
         before = asyncio.get_running_loop().time() - self.reuse_limit.max_idle_s
         for pool in self._pools.values():
@@ -132,7 +132,7 @@
             pool.retire()
 
     def _evict_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest; return False if none is idle."""
+        """Close the connection that has been idle longest; return False if all are in use."""
         oldest_idle = (pool.idle[0] for pool in self._pools.values() if pool.idle)
         candidate = min(oldest_idle, key=lambda idle: idle.idle_since, default=None)
         if candidate is None:
--- a/sumacpost/upstream/reuse_limit.py
+++ b/sumacpost/upstream/reuse_limit.py
@@ -1,23 +1,28 @@
-"""How long a connection may have been idle and still be reused; adapts to what resets show."""
+"""The idle time up to which connections are reused, adapted to observed resets."""
 
 from __future__ import annotations
 
-# Of the backends' idle timeout: a connection idle for longer is closed, well before they close it.
+# Fraction of the idle timeout of the backends. Connections that are idle for longer are closed,
+# well before the backends close them.
 IDLE_TIMEOUT_FRACTION = 0.6
-# A reset so soon after the request shows that the connection had ended unnoticed before it.
+# A reset within this time after the request shows that the connection was already dead before it.
 STALE_RESET_WINDOW_S = 0.02
-MIN_REUSE_IDLE_S = 0.03  # the limit never falls below this
-# With a limit below this, an attempt that is not retryable gets a new connection.
+MIN_REUSE_IDLE_S = 0.03  # lower bound of the limit
+# While the limit is below this, an attempt that is not retryable gets a new connection.
 NON_RETRYABLE_REUSE_IDLE_S = 1.0
-REUSE_IDLE_DECREASE = 0.8  # factor on the limit after a stale connection
-REUSE_IDLE_INCREASE = 1.02  # factor on the limit after a good response
+REUSE_IDLE_DECREASE = 0.8  # factor applied after a stale connection
+REUSE_IDLE_INCREASE = 1.02  # factor applied after a successful response
 
 
 class ReuseLimit:
-    """The longest time that a connection may have been idle to be reused, for all backends.
+    """The longest idle time after which a connection is reused, for all backends together.
 
-    A network device may drop connections long before the backend closes them. A request that is
-    not retryable would be lost on such a connection.
+    A device on the network path may drop connections long before the backend closes them. A request
+    that is not retryable would be lost on such a connection.
+
+    Attributes:
+        max_idle_s: fixed idle time after which connections are closed, in seconds.
+        max_reuse_idle_s: present limit on the idle time for reuse, in seconds.
     """
 
     __slots__ = ("max_idle_s", "max_reuse_idle_s")
@@ -28,19 +33,20 @@
 
     @property
     def allows_non_retryable(self) -> bool:
-        """Whether idle connections may carry attempts that are not retryable."""
+        """Whether attempts that are not retryable may reuse idle connections."""
         return self.max_reuse_idle_s >= NON_RETRYABLE_REUSE_IDLE_S
 
     def record_reset(self, idle_s: float, elapsed_s: float) -> None:
-        """Learn from the reset of a reused connection.
+        """Lower the limit if the reset of a reused connection shows that it was stale.
 
-        idle_s is how long it had been idle, elapsed_s how long after its request it was reset. If
-        it was stale, others that have been idle for so long are not to be reused either.
+        idle_s is the idle time of the connection before its request, elapsed_s the time from the
+        request to the reset. Other connections that have been idle as long are then not reused
+        either.
         """
         if elapsed_s < STALE_RESET_WINDOW_S:
             reduced_s = min(self.max_reuse_idle_s, idle_s) * REUSE_IDLE_DECREASE
             self.max_reuse_idle_s = max(MIN_REUSE_IDLE_S, reduced_s)
 
     def record_success(self) -> None:
-        """Learn from a good response: allow a little more."""
+        """Raise the limit slightly after a successful response."""
         self.max_reuse_idle_s = min(self.max_idle_s, self.max_reuse_idle_s * REUSE_IDLE_INCREASE)
