--- a/sumacpost/upstream/connection.py
+++ b/sumacpost/upstream/connection.py
@@ -69,7 +69,7 @@
 
     def __init__(self, pool: ConnectionOwner, sock: socket.socket) -> None:
         self.attempt: Attempt | None = None
-        self.idle_since = 0.0  # s, on the clock of the event loop; 0 before the first use ends
+        self.idle_since = 0.0  # s, on the clock of the event loop; 0 before it is first idle
         self._pool = pool
         self._sock = sock
         self._state = ConnectionState.IDLE
@@ -80,7 +80,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Configure the transport to report when the kernel has accepted a whole request."""
-        self._transport = cast(asyncio.Transport, transport)  # the one of uvloop is no subclass
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass
         # with a limit of 0, resume_writing is called only once the kernel has accepted all bytes
         self._transport.set_write_buffer_limits(high=0)
 
@@ -134,7 +134,7 @@
             # a wrong Content-Length may announce bytes that never arrive on an open connection
             self._stall_timer = Timer(RESPONSE_STALL_TIMEOUT_S, self._on_response_stalled)
             return
-        # a response sent before the last byte of the request rules out reuse of the connection
+        # a response received before the whole request was written rules out reuse
         reusable = response.keep_alive and self._state is ConnectionState.WRITTEN
         self._end_attempt(classify_response(response), response, reusable)
 
--- a/sumacpost/upstream/pool.py
+++ b/sumacpost/upstream/pool.py
@@ -93,7 +93,7 @@
             loop.call_soon(self.end_attempt, attempt, Outcome.SKIPPED, None)
 
     def add_idle(self, connection: BackendConnection) -> None:
-        """Add a free connection, which serves a waiting attempt after the reuse delay."""
+        """Add a free connection, which serves the longest-waiting attempt after the reuse delay."""
         if self._retired:
             connection.close(CloseReason.RETIRED)
             return
@@ -151,7 +151,7 @@
             connection.start(attempt)
 
     async def _connect(self, attempt: Attempt) -> None:
-        """Connect for a waiting attempt; if it needs no connection any more, add this one as idle."""
+        """Connect for a waiting attempt, or for others if it no longer needs the connection."""
         try:
             connection = await self._open_connection(attempt)
         except (OSError, TimeoutError):
