--- a/sumacpost/discovery/__init__.py
+++ b/sumacpost/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list and the watch that keeps it up to date."""
+"""The endpoint list, and the watch that keeps it up to date."""
--- a/sumacpost/discovery/backoff.py
+++ b/sumacpost/discovery/backoff.py
@@ -1,9 +1,9 @@
-"""How long the watch waits after a failed poll, and when it limits what it receives.
+"""Backoff of the discovery watch after failed polls, and a limit on the bytes that it receives.
 
-An endpoint list that can't be used costs as much as one that can. The longer such responses keep
-coming, the fewer polls are made; and after long ones only short responses are accepted for a while,
-so that an ingress spends a bounded number of bytes a second on them. Changes fit that bound, so the
-list stays up to date where the agent can still send these.
+Receiving an endpoint list that can't be used costs as much as receiving a usable one. Polls become
+less frequent the longer unusable responses continue. After long unusable responses, only short ones
+are accepted for a time, so that an ingress receives a bounded number of bytes per second. Lists of
+changes fit that bound, so the endpoint list stays up to date if the agent can still send changes.
 """
 
 from __future__ import annotations
@@ -11,18 +11,19 @@
 from math import inf
 from random import uniform
 
-# Before a new connection; with the time to connect it stays within the 200 ms of the watch.
+# Delay before a new connection. Including the time to connect, it stays within the 200 ms that the
+# watch is allowed.
 RECONNECT_DELAY_S = 0.1
-# A change must be known 6 s after discovery had it, whatever failed before, and the next poll needs
-# its time too.
+# A change must be known to the ingress 6 s after it is known to discovery, even after failed polls,
+# and the next poll takes time as well.
 MAX_RECONNECT_DELAY_S = 4.0
-MAX_DELAY_DOUBLINGS = 10  # of the delay: far past its bound
-SMALL_LIST_BYTES = 64 * 1024  # lists up to this size may be requested again at any time
+MAX_DELAY_DOUBLINGS = 10  # limit on the exponent; the delay reaches its maximum long before
+SMALL_LIST_BYTES = 64 * 1024  # lists up to this size may be polled again at any time
 LIMITED_BYTES_PER_S = 3000
-INITIAL_MAX_LIMIT_S = 60.0  # what the first limit lasts; each further one may last twice as long
+INITIAL_MAX_LIMIT_S = 60.0  # longest duration of the first limit, doubled for each further one
 MAX_LIMIT_DOUBLINGS = 20
-# Half of what the rate allows in the longest delay: the rest is for heads, and for what is on its
-# way when a connection is closed.
+# Half of the bytes that the rate allows within the longest delay. The other half is for response
+# heads, and for bytes in transit when a connection is closed.
 MAX_LIMITED_RESPONSE_BYTES = int(LIMITED_BYTES_PER_S * MAX_RECONNECT_DELAY_S / 2)
 
 
@@ -30,29 +31,31 @@
     """Exponential backoff with jitter, and a limit on the bytes received after long responses.
 
     Attributes:
-        failures: connections that ended with a response, since the last list that could be used.
-        limited_until: end of the present or last limit, in seconds of the event loop's clock.
+        failures: connections that ended after part of a response, since the last usable list.
+        limited_until: end of the current or last limit, in seconds of the event loop's clock.
     """
 
     def __init__(self) -> None:
         self.reset()
 
     def reset(self) -> None:
-        """Forget all failures, as after a list that could be used."""
+        """Reset the failures and the limit, as after a usable list."""
         self.failures = 0
         self.limited_until = -inf
         self._limit_count = 0
 
     def is_limited(self, now: float) -> bool:
-        """Return whether only short responses are accepted."""
+        """Return whether only short responses are accepted at a time of the event loop's clock."""
         return now < self.limited_until
 
     def next_delay(self, received_bytes: int, malformed: bool, now: float) -> float:
-        """Record the end of a connection and return the seconds to wait before the next.
+        """Record the end of a connection and return the delay before the next one, in seconds.
 
-        received_bytes: of its last response, none if there was no response; malformed: that came,
-        but was no list. A long response that was malformed begins a limit, and so does one that
-        broke off, unless it is the first failure.
+        received_bytes: size of the last response, 0 if there was no response.
+        malformed: whether the last response was not a valid list.
+
+        A long response that is malformed starts a limit. A long response that is truncated does so
+        unless it is the first failure.
         """
         if not received_bytes:
             return RECONNECT_DELAY_S
--- a/sumacpost/discovery/deduplication_peers.py
+++ b/sumacpost/discovery/deduplication_peers.py
@@ -1,4 +1,4 @@
-"""The backends of other partitions that a gateway holds so that retries can stay in their cell."""
+"""Backends of other partitions that a gateway keeps so that retries can stay in their cell."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from sumacpost.address import Address
 from sumacpost.model import BackendId, Endpoint, EndpointStatus
 
-DEDUPLICATION_PEERS_PER_CELL = 2  # backends of other partitions that are held for each cell
+DEDUPLICATION_PEERS_PER_CELL = 2  # backends of other partitions
 
 
 class ListedBackend(NamedTuple):
-    """An entry of the endpoint list, and where that backend is reached."""
+    """An entry of the endpoint list, and the address of its backend."""
 
     endpoint: Endpoint
     address: Address
@@ -24,22 +24,22 @@
 
 
 class DeduplicationPeers:
-    """The candidates for deduplication peers: of each cell, the ready backends of lowest rank.
+    """The candidates for deduplication peers: for each cell, the ready backends of lowest rank.
 
-    A partition has few backends of a cell, but some requests must be retried within the cell of
-    their first attempt, where repeats are dropped. For these, backends of other partitions are
-    held. The rank differs between gateways, so that they choose different ones.
+    A partition contains few backends of a cell, but some requests must be retried within the cell
+    of their first attempt, which drops duplicates. Backends of other partitions are kept for these
+    retries. The rank differs between gateways, so that gateways choose different backends.
     """
 
     def __init__(self, rank: Callable[[BackendId], int]) -> None:
         self._rank = rank
-        self._candidates: dict[int, list[_Candidate]] = {}  # by cell, in the order of their ranks
+        self._candidates: dict[int, list[_Candidate]] = {}  # by cell, in order of rank
 
     def __len__(self) -> int:
         return sum(map(len, self._candidates.values()))
 
     def is_candidate(self, backend: BackendId, status: EndpointStatus, cell: int) -> bool:
-        """Return whether a backend of another partition would be a candidate for its cell."""
+        """Return whether a backend of another partition qualifies as a candidate for its cell."""
         if status is not EndpointStatus.READY:
             return False
         candidates = self._candidates.get(cell, [])
@@ -48,12 +48,12 @@
         return self._rank(backend) < candidates[-1].rank
 
     def add(self, listed: ListedBackend) -> None:
-        """Hold a backend that is wanted, in place of the candidate of highest rank if need be."""
+        """Add a candidate to its cell; drop the candidate of highest rank if there are too many."""
         candidates = self._candidates.setdefault(listed.endpoint.cell, [])
         candidates.append(_Candidate(self._rank(listed.endpoint.backend), listed))
         candidates.sort(key=lambda candidate: candidate.rank)
         del candidates[DEDUPLICATION_PEERS_PER_CELL:]
 
     def lowest_ranked(self, cell: int, count: int) -> list[ListedBackend]:
-        """Return up to so many candidates for a cell, by rank."""
+        """Return at most `count` candidates for a cell, in order of rank."""
         return [candidate.listed for candidate in self._candidates.get(cell, [])[:count]]
--- a/sumacpost/discovery/endpoint_list.py
+++ b/sumacpost/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint lists, read in pieces: what is held of one doesn't grow with the fleet.
+"""Incremental parsing of endpoint lists, with memory use that doesn't grow with the fleet.
 
 A list is a JSON object: "rev" is its version, "all" tells a full list from changes to an earlier
 one, and "targets" is the array of its entries.
@@ -22,13 +22,13 @@
 from sumacpost.model import BackendId, Endpoint, EndpointListUpdate, EndpointStatus, UpdateKind
 from sumacpost.policy.subsetting import Partition, splitmix64
 
-# Four times what 99,000 backends take, for lists that are indented.
+# Four times the size of a list of 99,000 backends, to allow for indented lists.
 MAX_LIST_BYTES = 64 * 1024 * 1024
-MAX_ENTRIES = 1 << 18  # more than twice as many backends as the largest fleet that is planned
-MAX_DEPTH = 8  # of nested values; a list has three
-MAX_BACKEND_SIZE = 1e6  # of a backend, relative to a standard one
+MAX_ENTRIES = 1 << 18  # more than twice the backends of the largest planned fleet
+MAX_DEPTH = 8  # levels of nested values; a valid list needs three
+MAX_BACKEND_SIZE = 1e6  # relative to a standard backend
 MAX_BOOT_MS = 1e15
-UNKNOWN_INDEX = 0xFFFF  # the number of a zone or machine type that the settings don't name
+UNKNOWN_INDEX = 0xFFFF  # index of a zone or machine type that the settings don't name
 STATUS_BY_NAME = {
     "active": EndpointStatus.READY,
     "leaving": EndpointStatus.DRAINING,
@@ -42,31 +42,32 @@
 
 
 class EndpointList(NamedTuple):
-    """A list in the gateway's form, and the addresses of its backends."""
+    """An endpoint list as an update for the gateway, and the addresses of its backends."""
 
     update: EndpointListUpdate
     addresses: AddressByBackend
 
 
 def backend_id(uid: str) -> BackendId:
-    """Return the number of a backend, the same at every ingress and after every restart."""
+    """Return the id of a backend, the same at every ingress and after every restart."""
     return int.from_bytes(blake2b(uid.encode(), digest_size=6).digest(), "big")
 
 
 class _JsonContext(Enum):
-    """The kinds of JSON values that a parser can be within."""
+    """The kinds of JSON values that can enclose the parser's position."""
 
     DOCUMENT = auto()
-    LIST = auto()  # the object
+    LIST = auto()  # the outermost object
     TARGETS = auto()  # the array of entries
     ENTRY = auto()
-    IGNORED = auto()  # a nested value that no field known here has
+    IGNORED = auto()  # a nested value of an unknown field, or of one that must not be nested
 
 
 class EndpointListParser:
-    """Builds one list from JSON events, holding only the entries that the gateway's partition has.
+    """Builds one list from JSON events, storing only what the gateway needs.
 
-    The partition grows with the list, and what it no longer has is dropped at once.
+    The gateway needs the entries of its partition and its deduplication peers. The partition is
+    divided as the list grows, and entries that it no longer contains are dropped immediately.
     """
 
     def __init__(self, reader: EndpointListReader, partition: Partition) -> None:
@@ -76,15 +77,16 @@
         self._context = _JsonContext.DOCUMENT
         self._list_fields: dict[str, Any] = {}
         self._entry_fields: dict[str, Any] = {}
-        self._current_fields: dict[str, Any] | None = None  # None outside the list and its entries
-        self._current_key = ""  # of the present field
+        # Fields of the object that is being parsed; None where fields are ignored.
+        self._current_fields: dict[str, Any] | None = None
+        self._current_key = ""
         self._entry_count = 0
-        self._present_count = 0  # entries that are not gone
+        self._present_count = 0  # entries of backends that are not gone
         self._stored: dict[BackendId, ListedBackend] = {}
         self._peers = DeduplicationPeers(reader.rank)
 
     def send(self, event: JsonEvent) -> None:
-        """Take the next event; raise EndpointListError if no list continues like that."""
+        """Process the next event; raise EndpointListError if it is invalid at this position."""
         name, value = event
         if name == "map_key":
             if self._current_fields is not None:
@@ -96,26 +98,26 @@
         elif self._current_fields is not None:
             self._current_fields[self._current_key] = value
         elif self._context is not _JsonContext.IGNORED:
-            raise EndpointListError(f"{value!r:.40} where an object belongs")
+            raise EndpointListError(f"expected an object, got {value!r:.40}")
 
     @property
     def stored_count(self) -> int:
-        """The number of entries that are held so far."""
+        """The number of entries stored so far."""
         return len(self._stored) + len(self._peers)
 
     def result(self, cached: bool = False) -> EndpointList:
-        """Return the list, once all of it has come; raise EndpointListError if it is none.
+        """Return the complete list; raise EndpointListError if it is invalid.
 
-        cached: it comes from this ingress's configuration, not from discovery.
+        cached: whether the list comes from this ingress's configuration, not from discovery.
         """
         try:
             targets = self._list_fields["targets"]
             is_full = bool(self._list_fields["all"])
             version = int(self._list_fields["rev"])
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise EndpointListError(f"no list of backends: {error!r}") from error
+            raise EndpointListError(f"invalid endpoint list: {error!r}") from error
         if not isinstance(targets, list):
-            raise EndpointListError("its targets are no array")
+            raise EndpointListError("'targets' is not an array")
         kind = UpdateKind.CHANGES
         if is_full:
             kind = UpdateKind.CACHED if cached else UpdateKind.FULL
@@ -130,19 +132,19 @@
     def _begin_value(self, is_map: bool) -> None:
         self._outer_contexts.append(self._context)
         if len(self._outer_contexts) > MAX_DEPTH:
-            raise EndpointListError("values nested too deep")
+            raise EndpointListError(f"values nested deeper than {MAX_DEPTH} levels")
         match self._context:
             case _JsonContext.DOCUMENT:
                 if not is_map:
-                    raise EndpointListError("no object")
+                    raise EndpointListError("expected an object, got an array")
                 self._set_context(_JsonContext.LIST)
             case _JsonContext.LIST if self._current_key == "targets":
-                # An empty array stands for the entries, which are held elsewhere.
+                # An empty array represents the entries, which are stored separately.
                 self._list_fields["targets"] = None if is_map else []
                 self._set_context(_JsonContext.IGNORED if is_map else _JsonContext.TARGETS)
             case _JsonContext.TARGETS:
                 if not is_map:
-                    raise EndpointListError("an array where an entry belongs")
+                    raise EndpointListError("expected an entry, got an array")
                 self._entry_fields = {}
                 self._set_context(_JsonContext.ENTRY)
             case _JsonContext.ENTRY:
@@ -176,7 +178,7 @@
             if self.partition.holds(backend) or self._reader.is_deduplication_peer(backend):
                 self._stored[backend] = self._reader.parse_entry(backend, status, raw)
             elif self._reader.has_cell_scope:
-                # Most entries end here: only the few that are wanted are converted.
+                # Most entries are skipped here; only the few candidates are converted.
                 cell = int(raw.get("pod_group", 0))
                 if self._peers.is_candidate(backend, status, cell):
                     self._peers.add(self._reader.parse_entry(backend, status, raw))
@@ -187,7 +189,7 @@
             self._drop_other_partitions()
 
     def _drop_other_partitions(self) -> None:
-        for backend in [held for held in self._stored if not self.partition.holds(held)]:
+        for backend in [stored for stored in self._stored if not self.partition.holds(stored)]:
             listed = self._stored.pop(backend)
             endpoint = listed.endpoint
             if self._reader.has_cell_scope and self._peers.is_candidate(
@@ -196,9 +198,9 @@
                 self._peers.add(listed)
 
     def _choose_deduplication_peers(self) -> None:
-        """Hold the same number of peers for each cell that the partition has a backend of.
+        """Choose the same number of peers for each cell with a backend in the partition.
 
-        Those that the last list gave come first.
+        Peers kept since the last list take precedence.
         """
         cells: set[int] = set()
         peers_by_cell: dict[int, list[BackendId]] = {}
@@ -218,11 +220,12 @@
 
 
 class EndpointListReader:
-    """Reads endpoint lists into the gateway's form, and remembers which backends it holds.
+    """Reads endpoint lists as updates for the gateway, and records the backends that it knows.
 
     Attributes:
-        has_cell_scope: some class of requests must be retried in the cell of the first attempt.
-        needs_repartitioning: a full list is wanted, as another partition count fits the fleet.
+        has_cell_scope: whether a request class must be retried in the cell of the first attempt.
+        needs_repartitioning: whether the fleet size requires another partition count, and so a
+            full list.
     """
 
     def __init__(
@@ -241,16 +244,16 @@
         self._index = index
         self._partition_count = 1
         self._known_backends: dict[BackendId, None] = {}
-        self._partition_backend_count = 0  # without the deduplication peers
+        self._partition_backend_count = 0  # known backends without deduplication peers
 
     def is_deduplication_peer(self, backend: BackendId) -> bool:
-        """Return whether a backend of another partition is held, as of the last list."""
+        """Return whether a backend of another partition is kept since the last list."""
         return self.has_cell_scope and backend in self._known_backends
 
     def rank(self, backend: BackendId) -> int:
-        """Return a backend's place in the order in which this gateway chooses its peers.
+        """Return the rank by which this gateway chooses deduplication peers, the lowest first.
 
-        Each gateway has an order of its own, so that all backends are chosen by some.
+        Each gateway has its own order, so that every backend is chosen by some gateways.
         """
         return splitmix64(backend ^ splitmix64(self._index + 1))
 
@@ -260,7 +263,7 @@
         return EndpointListParser(self, Partition(self._gateways, self._index, partition_count))
 
     def adopt(self, parser: EndpointListParser, update: EndpointListUpdate) -> None:
-        """Take over an accepted list, and its partition for the lists that follow."""
+        """Record an accepted list, and use its partition for the lists that follow."""
         partition = parser.partition
         if update.kind is not UpdateKind.CHANGES:
             self._known_backends = {}
@@ -273,19 +276,19 @@
             self._partition_backend_count = len(self._known_backends)
         self._partition_count = partition.partition_count
         for entry in update.entries:
-            was_held = entry.backend in self._known_backends
+            was_known = entry.backend in self._known_backends
             is_present = entry.state is not EndpointStatus.GONE
-            if is_present and not was_held:
+            if is_present and not was_known:
                 self._known_backends[entry.backend] = None
                 self._partition_backend_count += partition.holds(entry.backend)
-            elif was_held and not is_present:
+            elif was_known and not is_present:
                 del self._known_backends[entry.backend]
                 self._partition_backend_count -= partition.holds(entry.backend)
         if partition.needs_repartitioning(self._partition_backend_count):
             self.needs_repartitioning = True
 
     def read(self, data: bytes, cached: bool = False) -> EndpointList:
-        """Read and adopt a list given as JSON; raise EndpointListError if it is none."""
+        """Read and adopt a list encoded as JSON; raise EndpointListError if it is invalid."""
         parser = self.new_parser()
         decoder = IncrementalJsonDecoder(parser)
         decoder.feed(data)
@@ -297,12 +300,12 @@
     def parse_entry(
         self, backend: BackendId, status: EndpointStatus, raw: dict[str, Any]
     ) -> ListedBackend:
-        """Convert an entry; raise KeyError, TypeError, ValueError or the like if that can't be."""
+        """Convert an entry; raise KeyError, TypeError, ValueError or the like if it is invalid."""
         size = float(raw.get("capacity_hint", 1.0))
         boot_ms = float(raw.get("boot_ms", 0))
         if not (0 <= size < MAX_BACKEND_SIZE and 0 <= boot_ms < MAX_BOOT_MS):
-            raise ValueError(f"a backend of size {size}, up since {boot_ms}")
-        # boot_ms is Unix time, and so is the scale of the gateway's clock: see ingress.Clock.
+            raise ValueError(f"capacity_hint {size} or boot_ms {boot_ms} out of range")
+        # boot_ms is Unix time, as is the gateway's clock: see sumacpost.clock.Clock.
         endpoint = Endpoint(
             backend,
             status,
--- a/sumacpost/discovery/incremental_json.py
+++ b/sumacpost/discovery/incremental_json.py
@@ -1,4 +1,4 @@
-"""JSON decoded in pieces, so that a long document is never held as a whole."""
+"""Incremental JSON decoding, which never keeps a whole document in memory."""
 
 from __future__ import annotations
 
@@ -8,40 +8,43 @@
 
 from sumacpost.errors import EndpointListError
 
-MAX_BYTES_WITHOUT_EVENT = 64 * 1024  # no valid list has a string or white space of this length
+MAX_BYTES_WITHOUT_EVENT = 64 * 1024  # valid lists have no longer strings or white space
 
 JsonEvent = tuple[str, Any]
 """An event of ijson: its name ("start_map", "map_key", "number" ...) and its value."""
 
 
 class JsonSink(Protocol):
-    """Takes the events of a JSON document, in their order."""
+    """Receives the events of a JSON document, in order."""
 
     def send(self, event: JsonEvent) -> None:
-        """Take the next event."""
+        """Process the next event."""
 
 
 class IncrementalJsonDecoder:
-    """A JSON decoder that is fed pieces of a document and hands its events to a sink.
+    """A JSON decoder that receives a document in pieces and passes its events to a sink.
 
-    What the sink raises passes through feed and finish.
+    Exceptions that the sink raises propagate through feed and finish.
+
+    Attributes:
+        total_bytes: bytes of the document received so far.
     """
 
     def __init__(self, sink: JsonSink) -> None:
         self._sink = sink
         self._decoder = ijson.basic_parse_coro(self, use_float=True)
-        self._bytes_since_event = 0  # since the last event
-        self.total_bytes = 0  # bytes so far
+        self._bytes_since_event = 0
+        self.total_bytes = 0
 
     def send(self, event: JsonEvent) -> None:
-        """Pass on an event; called by the decoder."""
+        """Pass an event to the sink; called by ijson."""
         self._bytes_since_event = 0
         self._sink.send(event)
 
     def feed(self, data: bytes) -> None:
-        """Decode the next piece; of it, only a value that it breaks off in is held.
+        """Decode the next piece; only an incomplete value at its end is kept in memory.
 
-        Raise EndpointListError if it doesn't continue a JSON document.
+        Raise EndpointListError if the piece doesn't continue a valid JSON document.
         """
         self.total_bytes += len(data)
         self._bytes_since_event += len(data)
@@ -50,7 +53,7 @@
         except ijson.JSONError as error:
             raise _not_json(error) from error
         if self._bytes_since_event > MAX_BYTES_WITHOUT_EVENT:
-            raise EndpointListError(f"no value in {self._bytes_since_event} bytes")
+            raise EndpointListError(f"no JSON event in {self._bytes_since_event} bytes")
 
     def finish(self) -> None:
         """End the document; raise EndpointListError if it is incomplete."""
@@ -61,7 +64,7 @@
         except ijson.JSONError as error:
             raise _not_json(error) from error
         finally:
-            self._decoder = None  # it refers back to this object
+            self._decoder = None  # breaks the reference cycle with this object
 
 
 def _not_json(error: ijson.JSONError) -> EndpointListError:
--- a/sumacpost/discovery/start_times.py
+++ b/sumacpost/discovery/start_times.py
@@ -1,8 +1,8 @@
-"""When backends started, on the clock of this machine.
+"""Conversion of the start times of backends to the clock of this machine.
 
-Discovery gives it by the clock that the fleet shares. This machine's wall clock may be wrong, by
-seconds or by an hour, as the process starts: a cold backend would be taken for a warm one, or the
-other way about.
+Discovery reports start times on the clock that the fleet shares. The wall clock of this machine may
+be wrong, by seconds or by an hour, when the process starts. Without conversion, a cold backend
+would be taken for a warm one, or the reverse.
 """
 
 from __future__ import annotations
@@ -12,32 +12,35 @@
 
 from sumacpost.model import BackendId, Endpoint, EndpointListUpdate, EndpointStatus, UpdateKind
 
-MIN_START_INTERVAL_MS = 1.0  # between two starts of one backend
+MIN_START_INTERVAL_MS = 1.0  # between two converted start times of one backend
 
 
 class StartTimeConverter:
-    """Turns the starts that lists give into times of this machine's clock.
-
-    The fleet's clock can't be asked. But a backend can't have started after discovery told of it,
-    so no start is placed in the future. And a clock is ahead of the fleet's by no more than lies
-    between any start and the moment at which it was told; the shortest such time is taken for how
-    far it is ahead. Where starts are told late that makes backends look younger than they are,
-    which costs a part of their capacity for a while; they never look older.
-
-    The first list tells of all starts late. It is taken for a sign of the clock as well where most
-    of its backends have been up for long: those that have not are few, and may be cold. Where most
-    have started, together perhaps and a while ago, the clock is trusted.
+    """Converts the start times in endpoint lists to the clock of this machine.
+
+    The fleet's clock can't be queried. But a backend can't have started after discovery reported
+    it, so no start time is converted to a time in the future. This machine's clock is also ahead of
+    the fleet's by at most the difference between the time at which a report arrives, on this clock,
+    and the reported start; the smallest such difference is used as the offset between the clocks.
+    Where starts are reported late, backends look younger than they are, which costs a part of their
+    capacity for a time. Backends never look older than they are.
+
+    The first list reports all starts late. It is used to estimate the offset as well if most of its
+    backends started long ago: the others are few, and may be cold. If most backends have a start
+    time, perhaps a common one some time ago, the clock is trusted.
     """
 
     def __init__(self, now_ms: Callable[[], float]) -> None:
         self._now_ms = now_ms
-        self._clock_offset_ms = inf  # of the fleet's clock, at most
-        self._converted: dict[BackendId, tuple[float, float]] = {}  # starts by both clocks
+        self._clock_offset_ms = inf  # this clock minus the fleet's, at most; inf while unknown
+        # Start times, in ms, on the fleet's clock and on this machine's clock.
+        self._converted: dict[BackendId, tuple[float, float]] = {}
 
     def convert(self, update: EndpointListUpdate, live: bool) -> None:
-        """Replace the starts of an update's entries.
+        """Convert the start times of an update's entries in place.
 
-        live: discovery was heard before, so that a start that is new was told soon after it.
+        live: whether an earlier list has come from discovery, so that the update reports a new
+        start soon after it.
         """
         now = self._now_ms()
         if update.kind in (UpdateKind.FULL, UpdateKind.CACHED):
@@ -67,9 +70,10 @@
         return known is not None and known[0] == entry.up_since_ms
 
     def _convert(self, now: float, entry: Endpoint) -> float:
-        """Return a start by this machine's clock, the same each time that it is listed.
+        """Return the start time of an entry on this machine's clock, in ms.
 
-        A later start of the same backend gets a later time, whatever is thought of the clock now.
+        The result is the same each time that the start is listed. A later start of the same backend
+        gets a later time, even if the estimate of the offset has changed since.
         """
         if not self._is_known(entry):
             offset_ms = self._clock_offset_ms if self._clock_offset_ms < inf else 0.0
--- a/sumacpost/discovery/watch.py
+++ b/sumacpost/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch of discovery: polls the agent for changes of the endpoint list."""
+"""The discovery watch, which polls the agent for changes of the endpoint list."""
 
 from __future__ import annotations
 
@@ -31,30 +31,32 @@
 
 log = logging.getLogger(__name__)
 
-# How long the agent may hold a poll until there is a change. A silent connection shows only then.
+# Longest time for which the agent may hold a poll until there is a change. A silent connection is
+# detected only after it.
 LONG_POLL_MS = 1000
-# The same while the agent is unavailable: a change that it has at its return is due at once.
+# The same while the agent is unavailable: when it recovers, its changes are needed immediately.
 RECOVERY_POLL_MS = 1
-# Time for a response to begin after the hold, and for each further piece of it. It is shorter where
-# the grace of a drain is short, so that the return of a silent agent is seen within the grace.
+# Time-out for the first bytes of a response after the hold, and for each further piece. It is
+# shorter where the grace period of a drain is short, so that the recovery of a silent agent is
+# noticed within the grace period.
 RESPONSE_TIMEOUT_S = 0.5
 RESPONSE_TIMEOUT_GRACE_FRACTION = 0.5
 MIN_RESPONSE_TIMEOUT_S = 0.1
-# Time for a complete response, extended by what it brings at the least rate: one that trickles
-# without end is given up in time for another poll within 6 s.
+# Time-out for a complete response, extended by the time that the received bytes take at the minimum
+# rate. A response that trickles endlessly is abandoned in time for another poll within 6 s.
 TRANSFER_TIMEOUT_S = 3.0
 MIN_TRANSFER_BYTES_PER_S = 256 * 1024
-# Read in one turn of the event loop: some thirty entries, a millisecond at most.
+# Bytes read in one iteration of the event loop: about thirty entries, at most 1 ms of work.
 READ_BYTES = 4 * 1024
-UPDATE_BATCH_ENTRIES = 64  # handed on in one turn of the event loop: a millisecond
+UPDATE_BATCH_ENTRIES = 64  # passed to the listener in one iteration of the event loop: 1 ms of work
 
 UpdateListener = Callable[[EndpointListUpdate, AddressByBackend], None]
 
 
 class DiscoveryWatch:
-    """Polls the discovery agent and hands each change of the endpoint list to a listener.
+    """Polls the discovery agent and passes each change of the endpoint list to a listener.
 
-    While the agent is unavailable, or what it sends can't be used, the last list stands.
+    While the agent is unavailable, or sends unusable responses, the last list remains in effect.
     """
 
     def __init__(
@@ -70,32 +72,34 @@
         self._reader = reader
         self._on_update = on_update
         self._start_times = start_times or StartTimeConverter(Clock().now)
-        self._has_received_list = False  # of discovery, in the life of this process
+        self._has_received_list = False  # whether discovery has sent a list to this process
         self._response_timeout_s = max(
             MIN_RESPONSE_TIMEOUT_S,
             min(RESPONSE_TIMEOUT_S, drain_grace_s * RESPONSE_TIMEOUT_GRACE_FRACTION),
         )
         self._backoff = PollBackoff()
-        self._version: int | None = version  # of the last good list, if changes to it will do
-        self._needs_full_list = False  # though there is a version to poll from
+        # Version of the last usable list; None if the full list has to be polled.
+        self._version: int | None = version
+        # Whether the full list has to be polled although there is a version to poll from.
+        self._needs_full_list = False
         self._full_list_bytes = 0  # size of the last full list
         self._agent_available = True
-        self._received_bytes = 0  # of the present response
+        self._received_bytes = 0  # size of the current response so far
 
     def change_address(self, address: Address) -> None:
-        """Poll another agent, beginning with the full list; run must be started anew."""
+        """Poll another agent, starting with the full list; the caller has to restart run."""
         self._address = address
         self._version = None
         self._backoff.reset()
 
     async def run(self) -> None:
-        """Poll for ever."""
+        """Poll until cancelled."""
         while True:
             delay_s = await self._poll_until_closed()
             await asyncio.sleep(delay_s)
 
     async def _poll_until_closed(self) -> float:
-        """Poll on one connection; return the seconds to wait before the next."""
+        """Poll on one connection until it ends; return the delay before the next one in seconds."""
         writer = None
         self._received_bytes = 0
         try:
@@ -124,7 +128,7 @@
             return await asyncio.open_connection(*self._address)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
-            # What is not received is not to be sent either.
+            # A small receive buffer keeps the agent from sending bytes that will not be read.
             with suppress(OSError):
                 sock.setsockopt(
                     socket.SOL_SOCKET, socket.SO_RCVBUF, MAX_LIMITED_RESPONSE_BYTES // 4
@@ -136,7 +140,7 @@
             raise
 
     async def _poll(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Poll once; return whether the connection can be used again."""
+        """Poll once; return whether the connection can be reused."""
         limited = self._backoff.is_limited(_now())
         since_version = None if self._needs_full_list and not limited else self._version
         hold_ms = LONG_POLL_MS if self._agent_available else RECOVERY_POLL_MS
@@ -155,8 +159,8 @@
             endpoint_list = parser.result()
             _check_version(endpoint_list.update, since_version)
         except (EndpointListError, ResponseError):
-            # A full list holds whatever the response was to say. Where a long one can't be read,
-            # changes to the last good list may still be.
+            # A full list includes the changes that the response should have contained. If a long
+            # full list can't be read, changes to the last usable list may still be readable.
             self._needs_full_list = since_version is not None and (
                 self._full_list_bytes <= SMALL_LIST_BYTES or self._backoff.failures > 0
             )
@@ -178,7 +182,7 @@
 
     async def _apply(self, endpoint_list: EndpointList) -> None:
         update = endpoint_list.update
-        # Should the listener fail, it is to be handed the full list next.
+        # If the listener raises an exception, the full list is polled next.
         self._version = None
         if update.entries or update.kind is UpdateKind.FULL:
             await self._notify_listener(endpoint_list)
@@ -186,9 +190,9 @@
         self._needs_full_list = self._reader.needs_repartitioning
 
     async def _notify_listener(self, endpoint_list: EndpointList) -> None:
-        """Call the listener, with a long list in batches of changes first, then as it is.
+        """Call the listener with the list, preceded by batches of changes if the list is long.
 
-        The last call finds little left to do, so that none holds the event loop for long.
+        Little is left to do for the last call, so that no call blocks the event loop for long.
         """
         update, addresses = endpoint_list
         for first in range(0, len(update.entries) - UPDATE_BATCH_ENTRIES, UPDATE_BATCH_ENTRIES):
@@ -205,9 +209,10 @@
     async def _receive(
         self, reader: asyncio.StreamReader, response_reader: ResponseReader, wait_s: float
     ) -> Response:
-        """Read a response that is to begin within wait_s, yielding to the event loop in between.
+        """Read a response, yielding to the event loop between pieces.
 
-        Raise TimeoutError if it is late or too slow, ConnectionResetError if it is incomplete.
+        Raise TimeoutError if it does not begin within wait_s seconds or is too slow, and
+        ConnectionResetError if it is incomplete.
         """
         complete_by = _now() + wait_s + TRANSFER_TIMEOUT_S
         async with asyncio.timeout_at(_now() + wait_s) as timeout:
@@ -222,7 +227,7 @@
         if (response := response_reader.feed_eof()) is not None:
             return response
         raise ConnectionResetError(
-            f"closed after {self._received_bytes} bytes of an incomplete response"
+            f"connection closed after {self._received_bytes} bytes of an incomplete response"
         )
 
 
@@ -231,19 +236,21 @@
 
 
 def _encode_poll(since_version: int | None, hold_ms: int) -> bytes:
-    """Return a poll for changes since a version, or for the full list."""
+    """Return the request for changes since a version, or for the full list if it is None."""
     query = "" if since_version is None else f"?from={since_version}&hold_ms={hold_ms}"
     return f"GET /v1/servers{query} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode()
 
 
 def _check_status(response: Response) -> None:
     if response.status != HTTP_OK:
-        raise EndpointListError(f"the agent answered with status {response.status}")
+        raise EndpointListError(f"the discovery agent responded with status {response.status}")
 
 
 def _check_version(update: EndpointListUpdate, since_version: int | None) -> None:
-    """Raise EndpointListError for changes that were not polled for, or to an earlier version."""
+    """Raise EndpointListError for unrequested changes, or changes up to an earlier version."""
     if update.kind is UpdateKind.CHANGES and (
         since_version is None or update.version < since_version
     ):
-        raise EndpointListError(f"changes up to version {update.version} do not fit")
+        raise EndpointListError(
+            f"unexpected changes up to version {update.version}; polled from {since_version}"
+        )
