--- a/sumacpost/address.py
+++ b/sumacpost/address.py
@@ -1,17 +1,17 @@
-"""Addresses as the configuration and discovery write them."""
+"""Host and port addresses, as written in the configuration file and in endpoint lists."""
 
 from __future__ import annotations
 
 Address = tuple[str, int]
-"""Host and port, as the socket functions take them."""
+"""Host and port, in the form that the socket functions accept."""
 
 MAX_PORT = 65535
 
 
 def parse_address(text: object) -> Address:
-    """Return the host and port of a text such as "10.0.0.4:8081"; raise ValueError otherwise."""
+    """Parse a text such as "10.0.0.4:8081" into host and port; raise ValueError if invalid."""
     if isinstance(text, str):
         host, _, port = text.rpartition(":")
         if host and port.isascii() and port.isdigit() and int(port) <= MAX_PORT:
             return host, int(port)
-    raise ValueError(f"{text!r} is not an address")
+    raise ValueError(f"invalid address {text!r}: expected host:port, port at most {MAX_PORT}")
--- a/sumacpost/config.py
+++ b/sumacpost/config.py
@@ -1,10 +1,10 @@
-"""The configuration of an ingress: the JSON file that RELAY_CONFIG names, as typed settings.
+"""Loads the configuration of an ingress: the JSON file that RELAY_CONFIG names.
 
-The file holds the settings of the deployment, the addresses of this ingress and its peers, its
-limits, and, under `known`, the endpoint list that the ingress last had. That list may be long, so
-the file is never held as a whole: it is decoded in chunks, in steps between which other work can be
-done, and in two passes. The first reads everything but the list, the second the list alone, as the
-settings decide which part of it this ingress keeps, and may follow it in the file.
+The file contains the settings of the deployment, the addresses of this ingress and its peers, its
+limits and, under `known`, the last endpoint list that the ingress had. That list may be long, so
+the file is never loaded as a whole: it is decoded in chunks, and other work can run between two
+chunks. It is read in two passes: first everything except the list, then the list alone. The
+settings decide which part of the list this ingress keeps, and they may follow the list in the file.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from sumacpost.model import DeduplicationScope, EndpointListUpdate, Settings, UpdateKind
 from sumacpost.settings_json import parse_settings_json
 
-CHUNK_BYTES = 8 * 1024  # of the file, decoded in one step
+CHUNK_BYTES = 8 * 1024  # size of the part of the file that is decoded in one step
 DEFAULT_SOCKETS = 1024
 MIN_SOCKETS = 64
 DEFAULT_MEMORY_MB = 64
@@ -36,11 +36,12 @@
 MAX_MEMORY_MB = 1e9
 DEFAULT_IDLE_TIMEOUT_MS = 15_000
 MAX_IDLE_TIMEOUT_MS = 1e12
-# Responses are buffered until they are complete: so many of the greatest length fill the memory.
+# Responses are buffered until they are complete. The memory limit is divided by this number to get
+# the maximum length of a response: this many responses of that length use all of the memory.
 MAX_BUFFERED_RESPONSES = 48
 
 JsonObject = dict[str, Any]
-"""As decoded. Another type shows where it is used, as a TypeError or an AttributeError."""
+"""A decoded JSON object. A value of another type causes a TypeError or AttributeError on use."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,19 +49,20 @@
     """The configuration of one ingress.
 
     Attributes:
-        name: the ingress's name, for logs.
-        listen: where clients are served.
+        name: the ingress's name, used in logs.
+        listen: the address on which clients are served.
         discovery: the address of the discovery agent.
-        counter: the address of the shared counter; None without one.
-        seed: of the gateway's random generator.
-        endpoint_list_reader: reads what discovery sends, starting from the initial endpoints.
-        initial_endpoints: the endpoint list that the ingress last had; empty without one.
+        counter: the address of the shared counter; None if there is no counter.
+        seed: the seed of the gateway's random generator.
+        endpoint_list_reader: reads the lists that discovery sends, starting from the initial
+            endpoints.
+        initial_endpoints: the last endpoint list that the ingress had; empty if it had none.
         initial_addresses: the addresses of the initial endpoints.
         settings: the settings of the gateway.
-        max_sockets: descriptors that the ingress may hold.
-        max_response_bytes: the longest body of a backend's response.
-        connect_timeout_s: how long connecting to a backend may take.
-        backend_idle_timeout_s: how long a backend leaves an idle connection open.
+        max_sockets: the maximum number of descriptors that the ingress may have open.
+        max_response_bytes: the maximum length of the body of a backend's response, in bytes.
+        connect_timeout_s: the timeout for connecting to a backend, in seconds.
+        backend_idle_timeout_s: how long a backend leaves an idle connection open, in seconds.
     """
 
     name: str
@@ -79,19 +81,19 @@
 
 
 ConfigSteps = Generator[None, None, Config]
-"""A configuration being read: yields after each chunk of the file, then returns the result."""
+"""Reads a configuration: yields after each chunk of the file, then returns the configuration."""
 
 OpenChunks = Callable[[], Iterable[bytes]]
-"""Returns the chunks of the file from its start; called once for each pass."""
+"""Returns the chunks of the file from its start. Called once for each pass."""
 
 
 def load_config(path: str) -> Config:
-    """Read a file in one go; raise ConfigError if it can't be used."""
+    """Read a configuration file without interruption; raise ConfigError if it is invalid."""
     return _run_to_end(load_config_in_steps(path))
 
 
 def load_config_in_steps(path: str) -> ConfigSteps:
-    """Read a file chunk by chunk; raise ConfigError, at any step, if it can't be used."""
+    """Read a configuration file chunk by chunk; any step raises ConfigError if it is invalid."""
 
     def open_chunks() -> Iterator[bytes]:
         with Path(path).open("rb") as file:
@@ -105,7 +107,7 @@
 
 
 def read_config(text: str) -> Config:
-    """Read the text of a configuration file; raise ConfigError if it can't be used."""
+    """Parse the text of a configuration file; raise ConfigError if it is invalid."""
     return _run_to_end(_read_in_steps(lambda: [text.encode()]))
 
 
@@ -122,7 +124,7 @@
 
 
 def _read_in_steps(open_chunks: OpenChunks) -> ConfigSteps:
-    """Read a configuration, and name in a ConfigError what is missing or invalid."""
+    """Read a configuration; raise ConfigError that names a missing or invalid value."""
     try:
         return (yield from _read_both_passes(open_chunks))
     except KeyError as error:
@@ -175,12 +177,12 @@
 
 
 class _ConfigBuilder:
-    """Builds a document from JSON events, but for the value of its key `known`.
+    """Builds a document from JSON events, except for the value of its key `known`.
 
-    The events of that value go to the parser of endpoint lists, or are dropped without one.
+    The events of that value are sent to the endpoint list parser, or dropped if there is none.
 
     Attributes:
-        has_known: whether there is such a value that is not null.
+        has_known: whether the document has a value for `known` that is not null.
     """
 
     def __init__(self, known: EndpointListParser | None = None) -> None:
@@ -192,12 +194,12 @@
 
     @property
     def document(self) -> JsonObject:
-        """The document, once all events have come."""
+        """The document without `known`; complete once all events have been sent."""
         document: JsonObject = self._builder.value
         return document
 
     def send(self, event: JsonEvent) -> None:
-        """Take the next event."""
+        """Process the next event."""
         kind, value = event
         if self._depth == 1 and kind == "map_key":
             self._in_known = value == "known"
@@ -224,7 +226,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Limits:
-    """What the ingress may use of its machine."""
+    """The resource limits of the ingress."""
 
     sockets: int
     max_response_bytes: int
@@ -236,7 +238,10 @@
         raise ConfigError(f"limits.sockets: {sockets} is below {MIN_SOCKETS}")
     memory_mb = float(raw.get("memory_mb", DEFAULT_MEMORY_MB))
     if not MIN_MEMORY_MB <= memory_mb < MAX_MEMORY_MB:
-        raise ConfigError(f"limits.memory_mb: {memory_mb:g} is below {MIN_MEMORY_MB}")
+        raise ConfigError(
+            f"limits.memory_mb: {memory_mb:g} is not in the range"
+            f" from {MIN_MEMORY_MB} to below {MAX_MEMORY_MB:g}"
+        )
     buffer_bytes = int(memory_mb * 1024 * 1024 / MAX_BUFFERED_RESPONSES)
     return _Limits(sockets, max(MAX_BODY_BYTES, buffer_bytes))
 
@@ -244,7 +249,10 @@
 def _parse_idle_timeout_s(permissions: JsonObject) -> float:
     idle_ms = float(permissions.get("conn_idle", DEFAULT_IDLE_TIMEOUT_MS))
     if not 0 < idle_ms < MAX_IDLE_TIMEOUT_MS:
-        raise ConfigError(f"permissions.conn_idle: {idle_ms:g} is no idle time of a connection")
+        raise ConfigError(
+            f"permissions.conn_idle: {idle_ms:g} ms is not above 0 and below"
+            f" {MAX_IDLE_TIMEOUT_MS:g} ms"
+        )
     return idle_ms / 1000
 
 
--- a/sumacpost/errors.py
+++ b/sumacpost/errors.py
@@ -1,26 +1,26 @@
-"""The errors that the program raises itself, all of them subclasses of SumacpostError.
+"""The exceptions that the program defines, all of them subclasses of SumacpostError.
 
-Each stands for something that a peer or the operator sent and that can't be used. Where callers
-handle malformed data of any kind alike, the error is a ValueError too.
+Each one reports invalid input from a peer or from the operator. An exception is also a ValueError
+where callers handle all kinds of malformed data in the same way.
 """
 
 from __future__ import annotations
 
 
 class SumacpostError(Exception):
-    """The base of all errors that the program raises itself."""
+    """The base class of all exceptions that the program defines."""
 
 
 class ConfigError(SumacpostError, ValueError):
-    """The configuration can't be used; the message says why, on one line."""
+    """The configuration is invalid; the message gives the reason on one line."""
 
 
 class RequestError(SumacpostError):
-    """A client's request is rejected.
+    """A client's request is rejected before it reaches the gateway.
 
     Attributes:
         status: the HTTP status of the response.
-        reason: why, the body of the response.
+        reason: the reason for the rejection; becomes the body of the response.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -30,16 +30,16 @@
 
 
 class ResponseError(SumacpostError):
-    """A peer sent something that is not an HTTP response, or one that exceeds the limits."""
+    """A peer sent an invalid HTTP response, or one that exceeds the limits."""
 
 
 class EndpointListError(SumacpostError, ValueError):
-    """Discovery sent something that is not an endpoint list; all of it is discarded."""
+    """Discovery sent an invalid endpoint list, which is discarded as a whole."""
 
 
 class CounterProtocolError(SumacpostError, ValueError):
-    """The counter sent something that is not a reply, so later ones can't be matched to calls."""
+    """The counter sent an invalid reply, so later replies can't be matched to calls."""
 
 
 class CodecError(SumacpostError, ValueError):
-    """A record or settings text of the simulator is malformed; the message says what and where."""
+    """A simulator record or settings text is malformed; the message says where and how."""
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -92,7 +92,7 @@
 
     run(test())
     assert "endpoint list rejected: error=EndpointListError('parse error" in caplog.text
-    assert "a body of" in caplog.text
+    assert "response body: " in caplog.text
 
 
 @pytest.mark.usefixtures("_short_delays")
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The bounded reader of HTTP/1.1 responses, fed directly."""
+"""The HTTP/1.1 response reader with size limits, fed with bytes directly."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     interim = b"HTTP/1.1 100 Continue\r\n\r\n"
     for _ in range(MAX_HEAD_BYTES // len(interim)):
         assert reader.feed(interim) is None
-    with pytest.raises(ResponseError, match="a head of over"):
+    with pytest.raises(ResponseError, match="response head exceeds"):
         reader.feed(interim)
 
 
@@ -49,8 +49,8 @@
         b"11\r\nseventeen letters\r\n0\r\n\r\n",
     ],
 )
-def test_a_body_beyond_the_bound_is_an_error(reader: ResponseReader, response: bytes) -> None:
-    with pytest.raises(ResponseError, match="a body of"):
+def test_a_body_above_the_limit_is_an_error(reader: ResponseReader, response: bytes) -> None:
+    with pytest.raises(ResponseError, match="response body: "):
         reader.feed(response)
 
 
@@ -87,7 +87,7 @@
 
 def test_a_body_without_a_length_is_bounded(reader: ResponseReader) -> None:
     reader.feed(UNBOUNDED + b"x" * 16)
-    with pytest.raises(ResponseError, match="a body of"):
+    with pytest.raises(ResponseError, match="response body: exceeds"):
         reader.feed(b"x")
 
 
