--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -1,4 +1,4 @@
-"""The one bridge between sockets and gateway: events go in, actions are carried out."""
+"""The only link between sockets and gateway: passes events to it and executes its actions."""
 
 from __future__ import annotations
 
@@ -46,32 +46,35 @@
 
 log = logging.getLogger(__name__)
 
-# Between the gateway's deadline and the client's: for the way from the client and back to it, and
-# for a busy event loop.
+# How far the gateway's deadline lies before the client's: allows for the network time from and to
+# the client, and for a busy event loop.
 CLIENT_DEADLINE_MARGIN_MS = 20.0
-# On the timeout that the settings name: the counter works on every call and replies to it in its
-# turn, so a later reply is as true. Calls of many gateways queue there, for two or three timeouts.
+# Applied to the counter timeout of the settings. The counter processes every call and replies in
+# order, so a late reply is as valid as an early one. The calls of many gateways queue at the
+# counter, for two or three timeouts.
 COUNTER_TIMEOUT_FACTOR = 4.0
-# Most of these timers fire for requests that have their response, and cost as little as they may.
+# Most hedge timers fire for requests that already have their response, so they are kept cheap: up
+# to this lateness the timer does not wait for the sockets to be read.
 HEDGE_TIMER_LATENESS_S = 0.005
-# Of the process: listening, discovery, counter, event loop, standard streams.
+# Descriptors for other uses of the process: listening, discovery, counter, event loop, standard
+# streams.
 RESERVED_SOCKETS = 48
 
 
 def max_connections_per_side(config: Config) -> int:
-    """Return the bound on clients' connections, which is also that on backends' connections."""
+    """Return the limit on client connections, which is also the limit on backend connections."""
     return (config.max_sockets - RESERVED_SOCKETS) // 2
 
 
 class Ingress:
-    """Drives one gateway with what happens on the sockets."""
+    """Passes socket events to one gateway and executes the gateway's actions on the sockets."""
 
     def __init__(self, config: Config) -> None:
         settings = replace(
             config.settings,
             counter_timeout_ms=COUNTER_TIMEOUT_FACTOR * config.settings.counter_timeout_ms,
         )
-        self.ready = False  # until there is a backend to send to
+        self.ready = False  # True once a backend has been listed
         self.recorder = EventRecorder()
         self.backends = PoolManager(
             max_connections=max_connections_per_side(config),
@@ -91,16 +94,16 @@
         self._gateway = Gateway(settings, config.seed)
         self._load_reports = LoadReportReader(settings.report_fields)
         self._max_units = settings.max_units
-        self._pending: dict[int, ProxiedRequest] = {}  # those without a final response
+        self._pending: dict[int, ProxiedRequest] = {}  # requests without a final response
         self._pending_ids: set[bytes] = set()
         self._last_number = 0
         self._shutdown_schedule = shutdown_schedule(settings.classes)
-        self._drain_deadline = inf  # in milliseconds, by the clock; for requests during a drain
+        self._drain_deadline = inf  # latest deadline of requests during a drain, in ms by _clock
 
-    # Events: what has happened on the sockets.
+    # Events: what happens on the sockets.
 
     def update_endpoints(self, update: EndpointListUpdate, endpoints: AddressByBackend) -> None:
-        """Apply an update of the endpoint list."""
+        """Apply an endpoint list update to the gateway and to the connection pools."""
         for entry in update.entries:
             self.backends.update_endpoint(
                 entry.backend, endpoints[entry.backend], entry.up_since_ms
@@ -110,17 +113,17 @@
         self.ready = self.ready or bool(endpoints)
 
     def start_request(self, request: Request, response: ResponseChannel) -> ProxiedRequest:
-        """Take a request; it gets its one final response before the client's deadline.
+        """Accept a request, which gets exactly one final response before the client's deadline.
 
-        Raise RequestError if a request of the same id is pending: backends would take the one for a
-        copy of the other.
+        Raise RequestError if a request with the same id is pending, because backends would treat
+        one as a copy of the other.
         """
         if request.id in self._pending_ids:
             raise RequestError(409, "a request of this id is open")
         self._pending_ids.add(request.id)
         self._last_number += 1
         waited_ms = (time.monotonic() - response.received_at) * 1000
-        # the gateway's deadline lies before the client's, so that it tries nothing in between
+        # The gateway's deadline is earlier than the client's; it starts no attempt between the two.
         client_left_ms = request.timeout_ms - waited_ms - CLIENT_DEADLINE_MARGIN_MS
         now = self._clock.now()
         arrival = request.arrival
@@ -142,14 +145,14 @@
         pending.timer = Timer(time_left_ms / 1000 + TIMER_SLACK_S, self._on_deadline, pending)
 
     def cancel_request(self, pending: ProxiedRequest) -> None:
-        """Drop a request whose client has gone."""
+        """Cancel a request whose client has disconnected."""
         if self._remove_pending(pending):
             self._request_recorder.record_cancelled(pending)
             self._handle(RequestCancelled(pending.number))
             self._cancel_remaining(pending)
 
     def drain(self) -> ShutdownSchedule:
-        """Give all requests a deadline before the process is killed; return the schedule."""
+        """Limit all deadlines to a time before the process is killed; return the schedule."""
         schedule = self._shutdown_schedule
         self._drain_deadline = self._clock.now() + schedule.respond_within_ms
         self.recorder.logs_live = True
@@ -170,14 +173,14 @@
         return schedule
 
     def record_unanswered_requests(self) -> None:
-        """Record a violation for each request that is left without a response at the end."""
+        """Record a violation for each request that has no response at the end of the drain."""
         for pending in self._pending.values():
             self.recorder.record_violation("unanswered_at_end", pending.request.id)
 
     def _on_attempt_ended(
         self, attempt: Attempt, outcome: Outcome, response: Response | None
     ) -> None:
-        """Forward a good response, and report the outcome."""
+        """Forward a successful response, and report the outcome of the attempt."""
         assert isinstance(attempt.owner, ProxiedRequest)
         pending = attempt.owner
         served = outcome is Outcome.OK and pending.number in self._pending
@@ -196,7 +199,7 @@
             self._cancel_remaining(pending)
 
     def _on_deadline(self, pending: ProxiedRequest) -> None:
-        """Report attempts in flight as timed out; the gateway then decides on the response."""
+        """Report attempts in flight as timed out, then let the gateway decide on the response."""
         for attempt in pending.attempts:
             self._cancel_attempt(pending, attempt, Outcome.TIMEOUT)
         if pending.number in self._pending:
@@ -229,16 +232,16 @@
             )
         )
 
-    # Actions: what the gateway decides.
+    # Actions: what the gateway requests.
 
     def _handle(self, event: Event) -> None:
-        """Give the gateway an event and carry out its actions."""
+        """Pass an event to the gateway and execute the actions that it returns."""
         subject: Event | Action = event
         try:
             for subject in self._gateway.handle(self._clock.now(), event):
                 self._execute_action(subject)
         except Exception:
-            # the one request that the event or the action is about fails, and no other
+            # Only the request that the event or the action concerns fails.
             log.exception("event failed: subject=%s event=%s", subject, event)
             number = getattr(subject, "request", None) or getattr(event, "request", None)
             pending = self._pending.get(number or 0)
@@ -256,7 +259,7 @@
                 self._respond(self._pending[number], 502, reason.value)
             case Cancel(number, index):
                 pending = self._pending.get(number)
-                if pending is not None:  # else all its attempts end with it
+                if pending is not None:  # otherwise its attempts are cancelled on conclusion
                     self._cancel_attempt(pending, pending.attempts[index], Outcome.CANCELLED)
             case SetTimer(after_ms, label):
                 event = TimerFired(label)
@@ -268,10 +271,10 @@
                 )
             case AddToCounter(name, amount, ttl_ms):
                 if self.counter is None:
-                    raise RuntimeError("the gateway calls a counter that the settings do not name")
+                    raise RuntimeError("the gateway uses the counter, but the settings have none")
                 self.counter.call(name, amount, ttl_ms)
             case _:
-                raise NotImplementedError(f"the gateway asks for {action}")
+                raise NotImplementedError(f"unsupported action of the gateway: {action}")
 
     def _start_attempt(self, action: Send) -> None:
         pending = self._pending[action.request]
@@ -289,26 +292,27 @@
             self.backends.start(attempt)
 
     def _encode(self, pending: ProxiedRequest) -> bytes:
-        """Return the request as it is written now: it tells the time that is left now."""
+        """Encode the request for a backend, with the time that is left until the deadline now."""
         return pending.request.encode(pending.deadline - self._clock.now())
 
     def _may_write(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may be written now; end it, or its request, if it may not.
+        """Return whether an attempt may be written now; if not, end the attempt or its request.
 
-        Asked as it begins, and again when a connection has come up for it. Its request is cancelled
-        if the client has gone: in a late turn of the loop a timer may come before the end of the
-        client's connection.
+        Called when the attempt starts, and again once a connection for it is established. The
+        request is cancelled if the client has disconnected: in a late iteration of the event loop a
+        timer may run before the end of the client's connection is read.
         """
         assert isinstance(attempt.owner, ProxiedRequest)
         pending = attempt.owner
-        # a request without a timer has just arrived, and its client has been looked at
+        # A request without a timer has just arrived; its client was checked on arrival.
         if pending.timer is not None and pending.response.client_disconnected():
             self.cancel_request(pending)
         if attempt.ended:
             return False
         reason = self._gateway.write_obstacle(self._clock.now(), pending.number, attempt.index)
         if reason is None and not attempt.retryable and pending.other_attempt_may_have_run(attempt):
-            # not asked of the gateway: a fault in what it knows must not run the request twice
+            # Checked here independently of the gateway: a fault in the gateway's state must not
+            # cause a second execution of the request.
             reason = NotSentReason.SECOND_COPY
             self.recorder.record_violation("second_execution", pending.request.id)
         if reason is None:
@@ -324,28 +328,28 @@
     def _respond(
         self, pending: ProxiedRequest, status: int, reason: str, headers: Headers = ()
     ) -> None:
-        """Send the final response of the ingress itself, unless there has been one."""
+        """Send a final response of the ingress itself, unless one has been sent."""
         if self._remove_pending(pending):
             self._request_recorder.record_concluded(pending, status, reason)
             pending.response.send(status, b"", headers)
             self._cancel_remaining(pending)
 
     def _remove_pending(self, pending: ProxiedRequest) -> bool:
-        """Note that no response is owed any more; return False if none was owed before."""
+        """Mark a request as concluded; return False if it was concluded before."""
         if self._pending.pop(pending.number, None) is None:
             return False
         self._pending_ids.discard(pending.request.id)
         return True
 
     def _cancel_remaining(self, pending: ProxiedRequest) -> None:
-        """Cancel the timer and the attempts that are left of a request with its final response."""
+        """Cancel the timer and the remaining attempts of a concluded request."""
         if pending.timer is not None:
             pending.timer.cancel()
         for attempt in pending.attempts:
             self._cancel_attempt(pending, attempt, Outcome.CANCELLED)
 
     def _cancel_attempt(self, pending: ProxiedRequest, attempt: Attempt, outcome: Outcome) -> None:
-        """Cancel an attempt and report its outcome, unless it has ended."""
+        """Cancel an attempt and report its outcome, unless the attempt has ended."""
         if not attempt.ended:
             self.backends.cancel(attempt)
             self._report_attempt_end(pending, attempt, outcome)
--- a/sumacpost/pending_request.py
+++ b/sumacpost/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that the ingress owes a final response, with its client's side and its attempts."""
+"""A request that the ingress is proxying: its response channel to the client and its attempts."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 class ResponseChannel(Protocol):
-    """The client's side of a request."""
+    """The way back to the client of a request."""
 
-    received_at: float  # monotonic seconds: when the last byte of the request was read
+    received_at: float  # monotonic clock, seconds: when the last byte of the request was read
 
     def send(self, status: int, body: bytes = b"", headers: Headers = ()) -> None:
         """Send the final response."""
 
     def client_disconnected(self) -> bool:
-        """Return whether the client has gone, even if the loop has not learnt that yet."""
+        """Return whether the client has disconnected, even if the loop has not reported it yet."""
 
 
 @dataclass(slots=True, eq=False)
 class ProxiedRequest:
-    """A request that has no final response yet, or has attempts in flight."""
+    """A client's request that has no final response yet, or has attempts in flight."""
 
     number: int
     request: Request
     response: ResponseChannel
-    deadline: float  # in milliseconds, by the ingress's clock
+    deadline: float  # ms, by the ingress's clock
     attempts: list[Attempt] = field(default_factory=list)
     timer: Timer | None = None
 
     def other_attempt_may_have_run(self, attempt: Attempt) -> bool:
-        """Return whether another attempt has been written that may have run, or may yet."""
+        """Return whether a backend may have run, or may still run, another attempt."""
         return any(other is not attempt and other.may_have_run for other in self.attempts)
--- a/sumacpost/request_recorder.py
+++ b/sumacpost/request_recorder.py
@@ -1,4 +1,4 @@
-"""The events of a request's life, in the form in which the recorder keeps and logs them."""
+"""Records the lifecycle events of requests and attempts in the event recorder."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class RequestRecorder:
-    """Records what becomes of requests; each method is one event."""
+    """Records the events of requests; each method records one kind of event."""
 
     def __init__(self, events: EventRecorder, clock: Clock) -> None:
         self._events = events
         self._clock = clock
 
     def record_accepted(self, pending: ProxiedRequest, draining: bool) -> None:
-        """The ingress has taken a request, and owes it a response."""
+        """Record that the ingress has accepted a request, and owes it a response."""
         self._events.record(
             EventKind.REQUEST_ACCEPTED,
             "draining" if draining else "serving",
@@ -29,7 +29,7 @@
         )
 
     def record_pending_in_drain(self, pending: ProxiedRequest) -> None:
-        """A drain has started while a request is pending."""
+        """Record that a request was pending when a drain started."""
         self._events.record(
             EventKind.DRAIN_PHASE,
             "request_pending",
@@ -41,7 +41,7 @@
         )
 
     def record_cancelled(self, pending: ProxiedRequest) -> None:
-        """The client has left."""
+        """Record that the client of a request has disconnected."""
         self._events.record(
             EventKind.REQUEST_CANCELLED,
             "client_left",
@@ -51,7 +51,7 @@
         )
 
     def record_concluded(self, pending: ProxiedRequest, status: int, reason: str) -> None:
-        """The final response has been handed to the client's connection."""
+        """Record that the final response is being passed to the client's connection."""
         self._events.record(
             EventKind.REQUEST_CONCLUDED,
             reason,
@@ -65,7 +65,7 @@
     def record_attempt_started(
         self, pending: ProxiedRequest, attempt: Attempt, reason: SendReason
     ) -> None:
-        """An attempt has begun to look for a connection."""
+        """Record that an attempt has been started and needs a connection."""
         self._events.record(
             EventKind.ATTEMPT_STARTED,
             reason.value,
@@ -79,7 +79,7 @@
     def record_attempt_skipped(
         self, pending: ProxiedRequest, attempt: Attempt, reason: NotSentReason
     ) -> None:
-        """An attempt was not written, as something has changed since it was chosen."""
+        """Record that an attempt was not written, because conditions changed after the decision."""
         self._events.record(
             EventKind.ATTEMPT_SKIPPED,
             reason.value,
@@ -92,7 +92,7 @@
     def record_attempt_ended(
         self, pending: ProxiedRequest, attempt: Attempt, outcome: Outcome, elapsed_ms: float
     ) -> None:
-        """An attempt has its outcome."""
+        """Record that an attempt has ended with an outcome."""
         self._events.record(
             EventKind.ATTEMPT_ENDED,
             outcome.name.lower(),
--- a/sumacpost/response_headers.py
+++ b/sumacpost/response_headers.py
@@ -1,4 +1,4 @@
-"""The headers of the responses that clients get."""
+"""The headers of the responses to clients."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def forwarded_headers(response: Response) -> Headers:
-    """Return those of a backend's headers that its client gets."""
+    """Return the headers of a backend's response that are forwarded to the client."""
     headers = response.headers
     return tuple((name, headers[name]) for name in FORWARDED_RESPONSE_HEADERS if name in headers)
 
 
 def retry_after_header(retry_after_ms: float) -> Headers:
-    """Return the Retry-After header in seconds; none for 0."""
+    """Return the Retry-After header, in seconds; no header for 0 or less."""
     if retry_after_ms <= 0:
         return ()
     return ((b"Retry-After", b"%.3f" % (retry_after_ms / 1000)),)
--- a/sumacpost/supervisor.py
+++ b/sumacpost/supervisor.py
@@ -1,4 +1,4 @@
-"""Tasks that must run for as long as the program does."""
+"""Supervision of tasks that must run for the lifetime of the program."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 log = logging.getLogger(__name__)
 
-RESTART_DELAY_S = 0.1  # before a task that has failed is run again
+RESTART_DELAY_S = 0.1  # before a task that has ended is run again
 
 
 class SupervisedTask:
     """Runs `work`, and runs it again whenever it fails or returns.
 
-    It has to be created, and its methods called, on the event loop's thread.
+    Create it and call its methods on the event loop's thread only.
     """
 
     def __init__(self, name: str, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
@@ -26,13 +26,13 @@
         self._start()
 
     def restart(self) -> None:
-        """Cancel the current run and begin another at once."""
+        """Cancel the current run and start another immediately."""
         previous = self._task
         self._start()
         previous.cancel()
 
     def stop(self) -> None:
-        """Cancel the current run; there is no other after it."""
+        """Cancel the current run and start no other."""
         self._stopped = True
         self._task.cancel()
 
@@ -50,5 +50,5 @@
         self._loop.call_later(RESTART_DELAY_S, self._restart_failed, task)
 
     def _restart_failed(self, failed: asyncio.Task[None]) -> None:
-        if failed is self._task:  # otherwise it has been restarted meanwhile
+        if failed is self._task:  # otherwise `restart` has already started another run
             self._start()
--- a/sumacpost/timer.py
+++ b/sumacpost/timer.py
@@ -1,23 +1,31 @@
-"""Timers that let the event loop read its sockets before they give something up."""
+"""Timers that let the event loop read its sockets before a timeout takes effect."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-READ_DELAY_S = 0.001  # for one turn of the loop, which reads the sockets
-READ_TURNS = 2  # the end of a connection is read in the turn after its last bytes
+READ_DELAY_S = 0.001  # enough for one iteration of the loop, which reads the sockets
+READ_TURNS = 2  # the end of a connection is read in the iteration after its last bytes
 
 
 class Timer:
-    """Calls a function once after a time, unless it is cancelled before.
-
-    A loop that was held up, as a whole process may be, goes on with the timers that are due and
-    reads its sockets only then. A timer that gives up waiting for something would overlook what
-    came in time; so the sockets are read first, which takes about 2 ms.
-
-    tolerated_lateness_s: a timer that fires at most so late does so at once; for what is not given
-    up by it.
+    """Calls a function once after a delay, unless it is cancelled before.
+
+    An event loop that was blocked, for example because the whole process was stopped, first runs
+    the timers that are due and only then reads its sockets. A timeout would miss data that had
+    arrived in time, so the sockets are read before the function is called, which takes about 2 ms.
+
+    Args:
+        delay_s: time until the timer is due, in seconds.
+        callback: the function to call.
+        args: the arguments of the callback.
+        tolerated_lateness_s: a timer that fires at most this late, in seconds, calls the function
+            without reading the sockets first; for timers that are not timeouts. 0: sockets are
+            always read first.
+
+    Attributes:
+        due: when the timer is due, in seconds by the event loop's clock.
     """
 
     __slots__ = ("_args", "_callback", "_handle", "_tolerated_lateness_s", "_turns_left", "due")
@@ -30,7 +38,7 @@
         tolerated_lateness_s: float = 0.0,
     ) -> None:
         loop = asyncio.get_running_loop()
-        self.due = loop.time() + delay_s  # by the loop's clock
+        self.due = loop.time() + delay_s
         self._callback = callback
         self._args = args
         self._tolerated_lateness_s = tolerated_lateness_s
@@ -38,7 +46,7 @@
         self._handle = loop.call_later(delay_s, self._fire)
 
     def cancel(self) -> None:
-        """Don't fire any more; has no effect afterwards."""
+        """Cancel the timer; has no effect once the function has been called."""
         self._handle.cancel()
 
     def _fire(self) -> None:
