--- a/fleetlab/soak/system_schedule.py
+++ b/fleetlab/soak/system_schedule.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from random import Random
 
-from fleetlab.soak.pressure import make_slow_start_plan
-from fleetlab.soak.schedule import QUIET_S, FaultKind, PlannedFault, SoakPlan, make_plan
+from fleetlab.soak.schedule import FAULT_FREE_S, FaultKind, PlannedFault, SoakPlan, make_plan
+from fleetlab.soak.stress_plans import make_slow_start_plan
 
 FAULTS_PER_INGRESS = (1, 4)
 CLOCK_STEP_CHANCE = 0.4  # of an ingress
@@ -14,7 +14,7 @@
 ALL_INGRESSES = -1  # the target of a fault that befalls all
 BEFORE_START_S = -1.0  # when a fault begins that is there from the start
 CLOCK_STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
-_KINDS = (
+_SYSTEM_KINDS = (
     FaultKind.SYSTEM_ACCEPT,
     FaultKind.SYSTEM_SOCKET,
     FaultKind.SYSTEM_CONNECT,
@@ -40,14 +40,14 @@
     faults = list(plan.faults)
     for target in range(ingresses):
         for _ in range(random.randint(*FAULTS_PER_INGRESS)):
-            at_s = random.uniform(QUIET_S, seconds)
-            kind = random.choice(_KINDS)
+            at_s = random.uniform(FAULT_FREE_S, seconds)
+            kind = random.choice(_SYSTEM_KINDS)
             faults.append(PlannedFault(at_s, kind, target, random.uniform(0.5, 3.0)))
         if random.random() < CLOCK_STEP_CHANCE:
             step_s = random.choice(CLOCK_STEPS_S)
-            at_s = random.uniform(QUIET_S, seconds)
+            at_s = random.uniform(FAULT_FREE_S, seconds)
             faults.append(PlannedFault(at_s, FaultKind.CLOCK_STEP, target, step_s))
-    faults += _log_faults(random, plan, seconds)
+    faults += _draw_log_fault(random, plan, seconds)
     return replace(plan, faults=tuple(sorted(faults, key=lambda fault: fault.at_s)))
 
 
@@ -57,7 +57,7 @@
     random = Random(f"counter path {seed}")
     faults = [
         PlannedFault(
-            random.uniform(QUIET_S, seconds), kind, ALL_INGRESSES, random.uniform(0.3, 2.0)
+            random.uniform(FAULT_FREE_S, seconds), kind, ALL_INGRESSES, random.uniform(0.3, 2.0)
         )
         for kind in random.sample(_COUNTER_KINDS, 3)
     ]
@@ -76,15 +76,15 @@
     return replace(plan, faults=(*steps, *plan.faults))
 
 
-def _log_faults(random: Random, plan: SoakPlan, seconds: float) -> list[PlannedFault]:
+def _draw_log_fault(random: Random, plan: SoakPlan, seconds: float) -> list[PlannedFault]:
     """Return a log that takes nothing for an ingress that is not restarted, if there is one.
 
     The start of a process, and which requests it took, are read from the log.
     """
     restarts = (FaultKind.RESTART, FaultKind.KILL)
     restarted = {fault.target for fault in plan.faults if fault.kind in restarts}
-    lasting = [target for target in range(plan.ingresses) if target not in restarted]
+    not_restarted = [target for target in range(plan.ingresses) if target not in restarted]
     return [
-        PlannedFault(random.uniform(QUIET_S, seconds), FaultKind.SYSTEM_LOG, target, 1.0)
-        for target in lasting[:1]
+        PlannedFault(random.uniform(FAULT_FREE_S, seconds), FaultKind.SYSTEM_LOG, target, 1.0)
+        for target in not_restarted[:1]
     ]
