--- a/fleetlab/pairs.py
+++ b/fleetlab/pairs.py
@@ -75,7 +75,7 @@
 
     def __init__(self, gateways: int, backends: int) -> None:
         first = Partition(gateways, 0)
-        first.grow_for(backends)
+        first.split_to_fit(backends)
         self.partition_count = first.partition_count
         indexes = range(self.partition_count)
         self._partitions = [Partition(gateways, index, self.partition_count) for index in indexes]
@@ -91,7 +91,7 @@
     def set_ready(self, backend: int, ready: bool) -> None:
         """Add a backend to its partition, or remove it."""
         partition = next(
-            index for index, partition in enumerate(self._partitions) if partition.holds(backend)
+            index for index, partition in enumerate(self._partitions) if partition.contains(backend)
         )
         for shard in self._shards[partition]:
             shard.set_ready(backend, ready)
--- a/sumacpost/discovery/endpoint_list.py
+++ b/sumacpost/discovery/endpoint_list.py
@@ -173,7 +173,7 @@
         try:
             backend = backend_id(raw["uid"])
             status = STATUSES[raw["state"]]
-            if self.partition.holds(backend) or self._reader.is_deduplication_peer(backend):
+            if self.partition.contains(backend) or self._reader.is_deduplication_peer(backend):
                 self._held[backend] = self._reader.listed_backend(backend, status, raw)
             elif self._reader.has_cell_scope:
                 # Most entries end here: only the few that are wanted are converted.
@@ -183,11 +183,11 @@
         except (KeyError, TypeError, AttributeError, OverflowError, ValueError) as error:
             raise EndpointListError(f"{raw!r:.200}: {error!r}") from error
         self._present_count += status is not EndpointStatus.GONE
-        if self.partition.grow_for(self._present_count):
+        if self.partition.split_to_fit(self._present_count):
             self._drop_other_partitions()
 
     def _drop_other_partitions(self) -> None:
-        for backend in [held for held in self._held if not self.partition.holds(held)]:
+        for backend in [held for held in self._held if not self.partition.contains(held)]:
             listed = self._held.pop(backend)
             endpoint = listed.endpoint
             if self._reader.has_cell_scope and self._peers.wants(
@@ -204,7 +204,7 @@
         peers_by_cell: dict[int, list[BackendId]] = {}
         for backend, listed in self._held.items():
             cell = listed.endpoint.cell
-            if self.partition.holds(backend):
+            if self.partition.contains(backend):
                 cells.add(cell)
             else:
                 peers_by_cell.setdefault(cell, []).append(backend)
@@ -267,7 +267,7 @@
             self._held_in_partition = 0
             self.needs_repartitioning = False
         elif partition.partition_count != self._partition_count:
-            self._held = {backend: None for backend in self._held if partition.holds(backend)}
+            self._held = {backend: None for backend in self._held if partition.contains(backend)}
             self._held_in_partition = len(self._held)
         self._partition_count = partition.partition_count
         for entry in update.entries:
@@ -275,10 +275,10 @@
             is_present = entry.state is not EndpointStatus.GONE
             if is_present and not was_held:
                 self._held[entry.backend] = None
-                self._held_in_partition += partition.holds(entry.backend)
+                self._held_in_partition += partition.contains(entry.backend)
             elif was_held and not is_present:
                 del self._held[entry.backend]
-                self._held_in_partition -= partition.holds(entry.backend)
+                self._held_in_partition -= partition.contains(entry.backend)
         if partition.needs_repartitioning(self._held_in_partition):
             self.needs_repartitioning = True
 
--- a/sumacpost/policy/attempt_rules.py
+++ b/sumacpost/policy/attempt_rules.py
@@ -6,20 +6,20 @@
 """
 
 from sumacpost.model import DeduplicationScope, Endpoint, Idempotency, Obstacle, Settings
-from sumacpost.policy.endpoint_table import memberships
+from sumacpost.policy.endpoint_table import zone_and_cell_groups
 from sumacpost.policy.pending_request import PendingRequest
 
-REACH_MS = 50.0  # an attempt arrives within this and the time that its connection may take
+ARRIVAL_MARGIN_MS = 50.0  # an attempt arrives within this and the time that its connection may take
 
 
 def repeat_obstacle(now: float, request: PendingRequest, settings: Settings) -> Obstacle | None:
     """Return why no further attempt of a request may be sent now; None: one may."""
     if not request.is_repeatable:
-        if not request.has_key:
+        if not request.has_idempotency_key:
             return Obstacle.NOT_REPEATABLE
-        if now >= request.pinned_until - settings.connect_timeout_ms - REACH_MS:
+        if now >= request.pinned_until - settings.connect_timeout_ms - ARRIVAL_MARGIN_MS:
             return Obstacle.WINDOW_OVER
-    if len(request.tried) >= settings.max_attempts:
+    if len(request.attempted_backends) >= settings.max_attempts:
         return Obstacle.ATTEMPTS_USED
     if now >= request.deadline - settings.tick_ms:
         return Obstacle.DEADLINE
@@ -43,20 +43,22 @@
         return Obstacle.SECOND_COPY
     if request.is_repeatable:
         return None
-    return _repeat_obstacle_at(now, request, request.tried[attempt].endpoint)
+    return _repeat_obstacle_at_endpoint(now, request, request.attempted_backends[attempt].endpoint)
 
 
-def _repeat_obstacle_at(now: float, request: PendingRequest, endpoint: Endpoint) -> Obstacle | None:
+def _repeat_obstacle_at_endpoint(
+    now: float, request: PendingRequest, endpoint: Endpoint
+) -> Obstacle | None:
     """Return why a request that may have run may not be written to a backend now."""
-    if not request.has_key:
+    if not request.has_idempotency_key:
         return Obstacle.NOT_REPEATABLE
-    if now >= request.pinned_until - REACH_MS:
+    if now >= request.pinned_until - ARRIVAL_MARGIN_MS:
         return Obstacle.WINDOW_OVER
     return None if _in_scope(request, endpoint) else Obstacle.OUT_OF_SCOPE
 
 
 def _in_scope(request: PendingRequest, endpoint: Endpoint) -> bool:
     """Return whether a backend drops the repeats of what may have run before."""
-    pinned = request.pinned_scope
+    pinned = request.pinned_group
     everywhere = pinned is None or pinned.scope is DeduplicationScope.ALL
-    return everywhere or pinned in memberships(endpoint)
+    return everywhere or pinned in zone_and_cell_groups(endpoint)
--- a/sumacpost/policy/connection_rules.py
+++ b/sumacpost/policy/connection_rules.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConnectionFacts:
+class ConnectionSnapshot:
     """What is known of a client's connection.
 
     Attributes:
@@ -34,15 +34,15 @@
     has_unread_input: bool
 
 
-def close_obstacle(facts: ConnectionFacts) -> CloseObstacle | None:
+def close_obstacle(snapshot: ConnectionSnapshot) -> CloseObstacle | None:
     """Return why a connection may not simply be closed now; None: it may."""
-    if facts.responses_owed:
+    if snapshot.responses_owed:
         return CloseObstacle.RESPONSE_OWED
-    if facts.buffered_bytes:
+    if snapshot.buffered_bytes:
         return CloseObstacle.REQUEST_READ
-    if facts.has_partial_message:
+    if snapshot.has_partial_message:
         return CloseObstacle.REQUEST_INCOMPLETE
-    if facts.has_unread_input:
+    if snapshot.has_unread_input:
         return CloseObstacle.REQUEST_UNREAD
     return None
 
--- a/sumacpost/policy/endpoint_table.py
+++ b/sumacpost/policy/endpoint_table.py
@@ -26,7 +26,7 @@
         self.partition = Partition(settings.gateways, settings.index)
         self.subset = Subset(settings.gateways, settings.index)
         # hash and number of the ready backends of each group, in order
-        self.groups: dict[DeduplicationGroup, list[tuple[int, int]]] = {}
+        self.ready_by_group: dict[DeduplicationGroup, list[tuple[int, int]]] = {}
 
     def update(self, event: EndpointListUpdate) -> None:
         """Follow the list: what it does not name as ready gets nothing new from now on."""
@@ -37,10 +37,10 @@
             listed = {endpoint.backend for endpoint in event.entries}
             gone = [number for number in self.backends if number not in listed]
         if event.partition_count != self.partition.partition_count:
-            holds = self._repartition(event.partition_count).holds
+            holds = self._repartition(event.partition_count).contains
             gone += [n for n in self.backends if not holds(n) and n not in gone]
         for number in gone:
-            self._place(self.backends.pop(number).endpoint, False)
+            self._update_membership(self.backends.pop(number).endpoint, False)
         for endpoint in event.entries:
             self._update_endpoint(endpoint)
 
@@ -55,7 +55,7 @@
         ready = self.subset.ready
         self.subset = Subset(settings.gateways, settings.index, partition_count)
         for backend in ready:
-            held = partition.holds_hash(backend.hash)
+            held = partition.contains_hash(backend.hash)
             self.subset.set_ready(backend.backend, held, backend.hash)
         self.partition = partition
         return partition
@@ -66,43 +66,43 @@
             return
         if known is not None:
             del self.backends[endpoint.backend]
-            self._place(known.endpoint, False)
+            self._update_membership(known.endpoint, False)
         if known is None or endpoint.up_since_ms > known.endpoint.up_since_ms:
             known = Backend(endpoint, len(self._settings.classes))
         known.endpoint = endpoint
         if endpoint.state is not EndpointStatus.GONE:
             self.backends[endpoint.backend] = known
-            self._place(endpoint, endpoint.state is EndpointStatus.READY)
+            self._update_membership(endpoint, endpoint.state is EndpointStatus.READY)
 
-    def _place(self, endpoint: Endpoint, ready: bool) -> None:
+    def _update_membership(self, endpoint: Endpoint, ready: bool) -> None:
         """Add a ready backend to the subset and its groups, or remove one that is not ready."""
         backend_hash = splitmix64(endpoint.backend)
-        held = self.partition.holds_hash(backend_hash)
+        held = self.partition.contains_hash(backend_hash)
         self.subset.set_ready(endpoint.backend, ready and held, backend_hash)
         place = (backend_hash, endpoint.backend)
-        for group in memberships(endpoint):
-            members = self.groups.setdefault(group, [])
+        for group in zone_and_cell_groups(endpoint):
+            members = self.ready_by_group.setdefault(group, [])
             at = bisect_left(members, place)
             if place in members[at : at + 1]:
                 del members[at]
             if ready:
                 insort(members, place)
             if not members:
-                del self.groups[group]
+                del self.ready_by_group[group]
 
-    def eligible(self, pinned_scope: DeduplicationGroup | None) -> list[int]:
+    def eligible(self, pinned_group: DeduplicationGroup | None) -> list[int]:
         """Return the subset, or its part in a group, with others of the group if that is small."""
         subset = self.subset.members()
-        if pinned_scope is None or pinned_scope.scope is DeduplicationScope.ALL:
+        if pinned_group is None or pinned_group.scope is DeduplicationScope.ALL:
             return subset
-        own = [n for n in subset if pinned_scope in memberships(self.backends[n].endpoint)]
-        members = self.groups.get(pinned_scope, [])
+        own = [n for n in subset if pinned_group in zone_and_cell_groups(self.backends[n].endpoint)]
+        members = self.ready_by_group.get(pinned_group, [])
         at = bisect_left(members, (splitmix64(self._settings.index + 1), 0))
         others = (n for _, n in members[at:] + members[:at] if n not in own)
         return own + list(islice(others, max(0, MIN_SUBSET_SIZE - len(own))))
 
 
-def memberships(endpoint: Endpoint) -> tuple[DeduplicationGroup, DeduplicationGroup]:
+def zone_and_cell_groups(endpoint: Endpoint) -> tuple[DeduplicationGroup, DeduplicationGroup]:
     """Return the groups of an endpoint, but for that of the whole fleet."""
     zone = DeduplicationGroup(DeduplicationScope.ZONE, endpoint.zone)
     return zone, DeduplicationGroup(DeduplicationScope.CELL, endpoint.cell)
@@ -110,7 +110,7 @@
 
 def deduplication_group(endpoint: Endpoint, request_class: RequestClass) -> DeduplicationGroup:
     """Return the group that drops the repeats of a request of this class once it ran here."""
-    for group in memberships(endpoint):
+    for group in zone_and_cell_groups(endpoint):
         if group.scope is request_class.deduplication_scope:
             return group
     return DeduplicationGroup(DeduplicationScope.ALL, 0)
--- a/sumacpost/policy/fleet_estimate.py
+++ b/sumacpost/policy/fleet_estimate.py
@@ -9,7 +9,7 @@
 OBSERVATION_WEIGHT = 1 - PAST_WEIGHT
 UNIT_WEIGHT = 0.01  # how far a response moves the time that a unit of its class takes
 MAX_UNIT_STEP = 1.0  # congestion is not learnt as the usual time of a unit
-OBJECTIVE_UNITS = 10  # units that are first believed to fit in the latency objective
+INITIAL_UNITS_PER_OBJECTIVE = 10  # units that are first believed to fit in the latency objective
 MIN_UNITS = 0.01  # that a request is taken to use
 MAX_SERVICE_FRACTION = 0.2  # of the latency objective: slower requests can't meet it under load
 FAILURE_INFLATION = 10.0  # what a failure counts for
@@ -20,10 +20,18 @@
 FLEET_CAPACITY_WEIGHT = 0.05  # and that of the fleet's warm ones
 REPORT_FIELDS = ("throughput", "utilization")
 
-ANSWERED = (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)  # the backend itself has responded
-CLASS_FAILURES = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)  # may concern one class only
+BACKEND_RESPONDED = (
+    Outcome.OK,
+    Outcome.ERROR,
+    Outcome.REJECTED,
+)  # the backend itself has responded
+CLASS_FAILURE_OUTCOMES = (
+    Outcome.ERROR,
+    Outcome.TIMEOUT,
+    Outcome.RESET,
+)  # may concern one class only
 FLEET_OUTCOMES = (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT)  # may tell of all backends
-INCONCLUSIVE = (Outcome.CANCELLED, Outcome.SKIPPED)  # tell nothing of the backend
+INCONCLUSIVE_OUTCOMES = (Outcome.CANCELLED, Outcome.SKIPPED)  # tell nothing of the backend
 
 
 class FleetEstimate:
@@ -33,66 +41,70 @@
         self._settings = settings
         self.inflation = LatencyInflation()  # of the fleet as a whole
         # time that a unit of each class takes on an idle backend
-        self.unit_ms = [c.latency_objective_ms / OBJECTIVE_UNITS for c in settings.classes]
-        self.mean_work = sum(self.unit_ms) / len(self.unit_ms)  # of a request
-        self.usual_work = self.mean_work  # the same over many requests
+        self.unit_ms = [
+            c.latency_objective_ms / INITIAL_UNITS_PER_OBJECTIVE for c in settings.classes
+        ]
+        self.mean_work_ms = sum(self.unit_ms) / len(self.unit_ms)  # of a request
+        self.long_term_mean_work_ms = self.mean_work_ms  # the same over many requests
         self._requests_sent = 0
-        first_ms = self.mean_work * OBJECTIVE_UNITS * MAX_SERVICE_FRACTION
-        self.service_time = ServiceTime(first_ms)
-        self._is_service_time_warm = False  # whether it is that of warm backends
-        self.warm_capacity = 0.0  # requests a second of a warm backend, by load reports
+        initial_ms = self.mean_work_ms * INITIAL_UNITS_PER_OBJECTIVE * MAX_SERVICE_FRACTION
+        self.service_time = ServiceTime(initial_ms)
+        self._service_time_from_warm = False  # whether it is that of warm backends
+        self.warm_capacity_per_s = 0.0  # requests a second of a warm backend, by load reports
         fields = settings.report_fields
         self._report_field_indexes = [fields.index(n) for n in REPORT_FIELDS if n in fields]
 
-    def work(self, event: RequestArrived) -> float:
+    def expected_work_ms(self, event: RequestArrived) -> float:
         """Return how long a request is expected to take on an idle backend, in milliseconds."""
         return self.unit_ms[event.request_class] * max(event.units, MIN_UNITS)
 
-    def observe_work(self, work: float) -> None:
+    def observe_work(self, work_ms: float) -> None:
         """Take in the work of a request that is being sent."""
-        self.mean_work += (work - self.mean_work) * OBSERVATION_WEIGHT / 2
+        self.mean_work_ms += (work_ms - self.mean_work_ms) * OBSERVATION_WEIGHT / 2
         self._requests_sent += 1
         weight = max(UNIT_WEIGHT, 1 / (self._requests_sent + 1))
-        self.usual_work += (work - self.usual_work) * weight
+        self.long_term_mean_work_ms += (work_ms - self.long_term_mean_work_ms) * weight
 
-    def overdue_after_ms(self, now: float, work: float, outstanding: float) -> float:
+    def overdue_after_ms(self, now: float, work_ms: float, outstanding_requests: float) -> float:
         """Return the time until an attempt is overdue; it grows with the fleet's inflation."""
-        inflation = max(1.0, self.inflation.inflation(now))
-        return OVERDUE_FACTOR * inflation * (self.mean_work * outstanding + work)
+        inflation = max(1.0, self.inflation.current(now))
+        return OVERDUE_FACTOR * inflation * (self.mean_work_ms * outstanding_requests + work_ms)
 
     def apply_load_report(self, now: float, backend: Backend, report: tuple[float, ...]) -> None:
         """Learn from a load report: throughput over utilization is what a backend can do."""
         if not report or len(self._report_field_indexes) != len(REPORT_FIELDS):
             return
         throughput, utilization = (report[index] for index in self._report_field_indexes)
-        is_warm = backend.warmth(now, self._settings) >= 1
+        is_warm = backend.capacity_fraction(now, self._settings) >= 1
         if is_warm and throughput > 0 and utilization >= MIN_UTILIZATION:
             capacity = throughput / min(utilization, 1.0)
-            self.warm_capacity += (capacity - self.warm_capacity) * FLEET_CAPACITY_WEIGHT
+            self.warm_capacity_per_s += (
+                capacity - self.warm_capacity_per_s
+            ) * FLEET_CAPACITY_WEIGHT
 
-    def learn(
+    def observe_attempt(
         self, now: float, backend: Backend, event: AttemptEnded, attempt: InFlightAttempt
     ) -> None:
         """Learn from the end of an attempt: every outcome moves the one measure of health."""
         outcome = event.outcome
-        observed = event.elapsed_ms / attempt.outstanding / attempt.work
-        usual = self.inflation.inflation(now)
+        observed = event.elapsed_ms / attempt.outstanding_requests / attempt.work_ms
+        usual = self.inflation.current(now)
         own = backend.inflation_by_class[attempt.request_class]
         overdue = outcome is Outcome.CANCELLED and now > attempt.overdue_at
         # where the backend responded meanwhile, just one connection may be silent
         responded_since = backend.responded_at > attempt.sent_at
         connection_silent = outcome is Outcome.TIMEOUT and responded_since
-        if outcome in ANSWERED:
+        if outcome in BACKEND_RESPONDED:
             backend.responded_at = now
         if outcome is Outcome.OK:
-            self._learn_service_time(now, backend, event.elapsed_ms, attempt)
+            self._observe_service_time(now, backend, event.elapsed_ms, attempt)
             own.observe(now, observed, OBSERVATION_WEIGHT, usual)
             step = min(observed - 1, MAX_UNIT_STEP) * UNIT_WEIGHT
             self.unit_ms[attempt.request_class] *= 1 + step
-        elif overdue or outcome not in INCONCLUSIVE:
+        elif overdue or outcome not in INCONCLUSIVE_OUTCOMES:
             mild = overdue or connection_silent or outcome is Outcome.RESET
             value = MILD_FAILURE_INFLATION if mild else max(FAILURE_INFLATION, observed)
-            one_class = overdue or outcome in CLASS_FAILURES
+            one_class = overdue or outcome in CLASS_FAILURE_OUTCOMES
             for inflation in [own] if one_class else backend.inflation_by_class:
                 inflation.observe(now, value, FAILURE_WEIGHT, usual)
         if outcome in FLEET_OUTCOMES and not connection_silent:
@@ -100,7 +112,7 @@
             bounded = min(value, usual * MAX_INFLATION_STEP + 1)
             self.inflation.observe(now, bounded, OBSERVATION_WEIGHT)
 
-    def _learn_service_time(
+    def _observe_service_time(
         self, now: float, backend: Backend, elapsed_ms: float, attempt: InFlightAttempt
     ) -> None:
         """Learn what a request takes, from an attempt that found no other from here.
@@ -109,12 +121,12 @@
         time by their number would show a backend of many cores as one of a single fast one, whose
         capacity grows with each request sent to it.
         """
-        if attempt.outstanding > 1:
+        if attempt.outstanding_requests > 1:
             return
-        is_warm = backend.warmth(now, self._settings) >= 1
-        if self._is_service_time_warm and not is_warm:
+        is_warm = backend.capacity_fraction(now, self._settings) >= 1
+        if self._service_time_from_warm and not is_warm:
             return  # it is slower, and tells nothing of the others
-        if is_warm and not self._is_service_time_warm:
-            self._is_service_time_warm = True
-            self.service_time = ServiceTime(self.service_time.longest_ms(1))
-        self.service_time.observe(elapsed_ms, attempt.work / self.usual_work)
+        if is_warm and not self._service_time_from_warm:
+            self._service_time_from_warm = True
+            self.service_time = ServiceTime(self.service_time.upper_bound_ms(1))
+        self.service_time.observe(elapsed_ms, attempt.work_ms / self.long_term_mean_work_ms)
--- a/sumacpost/policy/gateway.py
+++ b/sumacpost/policy/gateway.py
@@ -25,7 +25,9 @@
 from sumacpost.policy.quota_sync import Grant, QuotaSync
 from sumacpost.policy.retries import RetryPolicy
 
-BEYOND_QUOTA_FRACTION = 0.5  # of the admission threshold: what requests beyond their quota may meet
+BEYOND_QUOTA_THRESHOLD_FRACTION = (
+    0.5  # of the admission threshold: what requests beyond their quota may meet
+)
 METER_FULL_PERCENT = 100
 
 
@@ -42,14 +44,14 @@
         self.customers = CustomerTable(settings, random)
         self.quota_sync = QuotaSync(settings, random)
         self.retries = RetryPolicy(settings)
-        self._started_at = inf  # when the first event came
+        self._first_event_at = inf  # when the first event came
         self._actions: Actions = []
 
     def handle(self, now: float, event: events.Event) -> Actions:
         """Take in one event at a time in milliseconds; return actions, to be done in order."""
         self._actions = []
-        self._started_at = min(self._started_at, now)
-        self.load_balancer.slow_start.start(now)
+        self._first_event_at = min(self._first_event_at, now)
+        self.load_balancer.slow_start.record_event(now)
         match event:
             case events.AttemptEnded():
                 self._attempt_ended(now, event)
@@ -77,11 +79,13 @@
         request = self.pending.get(number)
         if request is None:
             return Obstacle.CONCLUDED
-        backend = request.tried[attempt]
+        backend = request.attempted_backends[attempt]
         ready = self.endpoints.is_ready(backend)
         obstacle = write_obstacle(now, request, attempt, ready, self.settings)
         if obstacle is None:
-            self.load_balancer.slow_start.sent(now, backend, number, attempt, request.work)
+            self.load_balancer.slow_start.record_send(
+                now, backend, number, attempt, request.work_ms
+            )
         return obstacle
 
     def _deadline_reached(self, now: float, event: events.DeadlineReached) -> None:
@@ -99,17 +103,17 @@
     def _request_arrived(self, now: float, event: events.RequestArrived) -> None:
         """Let the bucket decide; ask the counter what it cannot tell; reject the rest."""
         settings = self.settings
-        customer = self.customers.find(now, event, self._started_at)
+        customer = self.customers.get_or_create(now, event, self._first_event_at)
         request_class = settings.classes[event.request_class]
-        work = self.estimate.work(event)
-        request = PendingRequest(event, request_class, customer, work, now)
+        work_ms = self.estimate.expected_work_ms(event)
+        request = PendingRequest(event, request_class, customer, work_ms, now)
         self.pending[event.request] = request
         if event.retry and settings.clients_mark_retries:
-            customer.return_queue.keep_appointment()
-        self.retries.earn()
+            customer.return_queue.record_return()
+        self.retries.deposit()
         plan = customer.plan
         bucket_size = plan.burst * customer.quota_share
-        below_ceiling = customer.below_ceiling(event.units)
+        below_ceiling = customer.ceiling_permits(event.units)
         keep_reserve = settings.clients_mark_retries and not event.retry
         if below_ceiling and customer.has_tokens(event.units, keep_reserve):
             self._admit(now, request, Grant.BUCKET)
@@ -120,9 +124,9 @@
         elif plan.over_quota_weight > plan.over_quota_cost:
             too_large = bucket_size < event.units
             self._admit(now, request, Grant.BUCKET if too_large else Grant.BEYOND_QUOTA)
-        elif not self.quota_sync.probably_granted(now, customer):
+        elif not self.quota_sync.draw_admission(now, customer):
             self._reject(now, request, Obstacle.QUOTA)
-        elif self.quota_sync.may_ask(now, request):
+        elif self.quota_sync.should_ask_counter(now, request):
             self._ask_counter(now, request)
         elif self.quota_sync.enabled or customer.tokens >= bucket_size:
             # a full bucket does for a larger request, which would never pass otherwise
@@ -137,7 +141,7 @@
             self._reject(now, request, Obstacle.OVERLOAD)
             return
         request.customer.unreported_units += request.event.units
-        self._actions += self.quota_sync.settle(now, request.customer, request)
+        self._actions += self.quota_sync.report_usage(now, request.customer, request)
 
     def _counter_replied(self, now: float, event: events.CounterReplied) -> None:
         """Send or reject the request held for a reply, then report what is left to report."""
@@ -148,7 +152,7 @@
             self._admit(now, call.request, call.grant)
         elif call.request is not None:
             self._reject(now, call.request, Obstacle.QUOTA)
-        self._actions += self.quota_sync.settle_after_reply(now, call)
+        self._actions += self.quota_sync.report_after_reply(now, call)
 
     def _admit(self, now: float, request: PendingRequest, grant: Grant) -> None:
         """Send what the quota lets pass, unless the fleet is overloaded."""
@@ -158,7 +162,7 @@
         if grant in (Grant.BUCKET, Grant.BEYOND_QUOTA):
             threshold = self.load_balancer.admission_threshold(request.event.request_class)
             if grant is Grant.BEYOND_QUOTA:
-                threshold *= BEYOND_QUOTA_FRACTION
+                threshold *= BEYOND_QUOTA_THRESHOLD_FRACTION
         backend = self.load_balancer.choose(now, request, threshold)
         if backend is None:
             if grant is Grant.COUNTER:
@@ -167,16 +171,16 @@
             return
         if customer.plan.ceiling_rate:
             customer.ceiling_tokens -= units
-        if grant in (Grant.BUCKET, Grant.COUNTER_UNAWARE):
+        if grant in (Grant.BUCKET, Grant.COUNTER_NOT_APPLIED):
             customer.tokens -= units
             customer.unreported_units += units
-            self._actions += self.quota_sync.settle(now, customer)
+            self._actions += self.quota_sync.report_usage(now, customer)
         self._send(now, request, backend, SendReason.FIRST)
 
     def _reject(self, now: float, request: PendingRequest, reason: Obstacle) -> None:
         """Conclude a request with the time after which its client may come back."""
         no_show_ms = NO_SHOW_MS * self.settings.clients_mark_retries
-        wait_ms = request.customer.return_time(now, request.event.units, no_show_ms)
+        wait_ms = request.customer.schedule_return(now, request.event.units, no_show_ms)
         retry_after_ms = wait_ms * self.settings.retry_after
         self._conclude(request, Reject(request.event.request, retry_after_ms, reason))
 
@@ -189,17 +193,25 @@
     ) -> None:
         """Start an attempt and remember what it may do."""
         number = request.event.request
-        outstanding = self.load_balancer.outstanding(now, backend)
-        overdue_after_ms = self.estimate.overdue_after_ms(now, request.work, outstanding)
+        outstanding_requests = self.load_balancer.outstanding_requests(now, backend)
+        overdue_after_ms = self.estimate.overdue_after_ms(
+            now, request.work_ms, outstanding_requests
+        )
         attempt = InFlightAttempt(
-            now, request.work, outstanding, request.event.request_class, now + overdue_after_ms
+            now,
+            request.work_ms,
+            outstanding_requests,
+            request.event.request_class,
+            now + overdue_after_ms,
         )
-        attempt_number = len(request.tried)
-        request.tried.append(backend)
+        attempt_number = len(request.attempted_backends)
+        request.attempted_backends.append(backend)
         request.in_flight[attempt_number] = attempt
-        backend.begin(number, attempt_number, attempt)
-        self.load_balancer.slow_start.sent(now, backend, number, attempt_number, request.work)
-        self.estimate.observe_work(request.work)
+        backend.add_attempt(number, attempt_number, attempt)
+        self.load_balancer.slow_start.record_send(
+            now, backend, number, attempt_number, request.work_ms
+        )
+        self.estimate.observe_work(request.work_ms)
         self._actions.append(Send(number, backend.endpoint.backend, reason=reason))
         self._actions += self.retries.hedge_timer(now, request, overdue_after_ms)
 
@@ -225,7 +237,7 @@
 
     def _attempt_ended(self, now: float, event: events.AttemptEnded) -> None:
         """Learn from the outcome, then conclude the request or retry it as its class allows."""
-        self._learn(now, event)
+        self._observe_attempt(now, event)
         request = self.pending.get(event.request)
         if request is None:
             return
@@ -246,13 +258,13 @@
         if not request.in_flight or event.attempt == request.last_attempt:
             self._retry_or_conclude(now, request)
 
-    def _learn(self, now: float, event: events.AttemptEnded) -> None:
+    def _observe_attempt(self, now: float, event: events.AttemptEnded) -> None:
         backend = self.endpoints.backends.get(event.backend)
         if backend is not None:
-            attempt = backend.end(event.request, event.attempt)
+            attempt = backend.remove_attempt(event.request, event.attempt)
             self.estimate.apply_load_report(now, backend, event.report)
             if attempt is not None:
-                self.estimate.learn(now, backend, event, attempt)
+                self.estimate.observe_attempt(now, backend, event, attempt)
 
     def _retry_or_conclude(
         self, now: float, request: PendingRequest, threshold: float = inf
--- a/sumacpost/policy/load_balancing.py
+++ b/sumacpost/policy/load_balancing.py
@@ -15,7 +15,9 @@
 ADMISSION_FRACTION = 0.33  # of the objective: the wait that work of the highest priority may meet
 MIN_ADMISSION_FRACTION = 0.25  # and work of no priority
 SHEDDING_EXPONENT = 16.0  # how sharply sends thin out past the threshold
-SILENCE_MS = 100.0  # with no response from the fleet for so long, an unused backend gets a request
+PROBE_AFTER_SILENCE_MS = (
+    100.0  # with no response from the fleet for so long, an unused backend gets a request
+)
 
 
 class LoadBalancer:
@@ -44,15 +46,17 @@
         span = ADMISSION_FRACTION - MIN_ADMISSION_FRACTION
         return objective_ms * (MIN_ADMISSION_FRACTION + span * priority / max(priorities))
 
-    def outstanding(self, now: float, backend: Backend) -> float:
+    def outstanding_requests(self, now: float, backend: Backend) -> float:
         """Return the requests that stand at a backend from here and one, by its size and warmth."""
         size = backend.endpoint.size or 1
-        capacity = self._estimate.mean_work * size * backend.warmth(now, self._settings)
-        return 1 + backend.outstanding_work / capacity
+        capacity = (
+            self._estimate.mean_work_ms * size * backend.capacity_fraction(now, self._settings)
+        )
+        return 1 + backend.outstanding_work_ms / capacity
 
     def candidates(self, request: PendingRequest) -> list[Backend]:
         """Return the backends to compare, a sample where there are many."""
-        eligible = self._endpoints.eligible(request.pinned_scope)
+        eligible = self._endpoints.eligible(request.pinned_group)
         if len(eligible) > MAX_CANDIDATES:
             eligible = self._random.sample(eligible, MAX_CANDIDATES)
         return [self._endpoints.backends[number] for number in eligible]
@@ -65,23 +69,23 @@
         While others are answered there is no silence: one connection may be dead.
         """
         own = backend.inflation_by_class[request.event.request_class]
-        inflation = own.inflation(now, fleet_inflation)
-        expected_ms = request.work * inflation * self.outstanding(now, backend)
+        inflation = own.current(now, fleet_inflation)
+        expected_ms = request.work_ms * inflation * self.outstanding_requests(now, backend)
         oldest = next(iter(backend.in_flight.values()), None)
         if oldest is None:
             return expected_ms
-        silent_since = max(oldest.sent_at + oldest.work, backend.responded_at)
+        silent_since = max(oldest.sent_at + oldest.work_ms, backend.responded_at)
         return max(expected_ms, now - silent_since)
 
     def choose(self, now: float, request: PendingRequest, threshold: float = inf) -> Backend | None:
         """Return the backend of the shortest forecast, at random among near ties; None: reject."""
         admits = self.slow_start.admits
-        allowed = [b for b in self.candidates(request) if admits(now, b, request.work)]
+        allowed = [b for b in self.candidates(request) if admits(now, b, request.work_ms)]
         if len(allowed) > 1:
-            allowed = [b for b in allowed if b not in request.tried]
+            allowed = [b for b in allowed if b not in request.attempted_backends]
         if not allowed:
             return None
-        fleet_inflation = self._estimate.inflation.inflation(now)
+        fleet_inflation = self._estimate.inflation.current(now)
         forecasts = [self.forecast(now, b, request, fleet_inflation) for b in allowed]
         limit = min(forecasts) * TIE_FACTOR
         ties = [b for b, forecast in zip(allowed, forecasts, strict=True) if forecast <= limit]
@@ -97,17 +101,17 @@
         fleet_inflation: float,
     ) -> bool:
         """Draw whether a request is sent, by how far the wait is past what it may meet."""
-        own = best.inflation_by_class[request.event.request_class].inflation(now, fleet_inflation)
+        own = best.inflation_by_class[request.event.request_class].current(now, fleet_inflation)
         # the lower one: one bad backend is no sign of an overloaded fleet
-        mean_work = self._estimate.mean_work
-        wait_ms = min(fleet_inflation, own) * mean_work * self.outstanding(now, best)
-        left_ms = request.objective_at - now
+        mean_work_ms = self._estimate.mean_work_ms
+        wait_ms = min(fleet_inflation, own) * mean_work_ms * self.outstanding_requests(now, best)
+        left_ms = request.objective_deadline - now
         excess = max(1.0, wait_ms / threshold)
-        if threshold < inf and not request.tried:
-            excess = max(excess, (wait_ms + request.work - mean_work) / max(1.0, left_ms))
+        if threshold < inf and not request.attempted_backends:
+            excess = max(excess, (wait_ms + request.work_ms - mean_work_ms) / max(1.0, left_ms))
         silence_ms = now - self._estimate.inflation.observed_at
-        unused = not best.in_flight and request.work < left_ms
-        if excess > 1 and unused and silence_ms > SILENCE_MS:
+        unused = not best.in_flight and request.work_ms < left_ms
+        if excess > 1 and unused and silence_ms > PROBE_AFTER_SILENCE_MS:
             return True  # with all rejected, nobody would learn that the overload is over
         admission_probability: float = excess**-SHEDDING_EXPONENT
         return self._random.random() <= admission_probability
--- a/sumacpost/policy/quota_sync.py
+++ b/sumacpost/policy/quota_sync.py
@@ -30,7 +30,7 @@
     BUCKET = auto()  # the customer's bucket here
     BEYOND_QUOTA = auto()  # the plan, which pays for more than the quota
     COUNTER = auto()  # the shared counter, to which its units are added already
-    COUNTER_UNAWARE = auto()  # the last known balance: the counter has not applied its call
+    COUNTER_NOT_APPLIED = auto()  # the last known balance: the counter has not applied its call
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
     """A call to the counter, and what its reply means once that is there."""
 
     customer: CustomerQuota
-    use: float  # units reported, those of the request held for it among them
+    reported_units: float  # units reported, those of the request held for it among them
     correction: float  # units added to put the name's total right
     request: PendingRequest | None  # held for the reply
     grant: Grant | None = None  # what lets the request pass; None: it is to be rejected
@@ -58,23 +58,23 @@
     def __init__(self, settings: Settings, random: Random) -> None:
         self.enabled = settings.counter and not settings.meter_ms
         self.counter_call_rate = INITIAL_CALL_RATE
-        self.unanswered: dict[int, deque[CounterCall]] = {}  # by name, in the order of the calls
+        self.pending_calls: dict[int, deque[CounterCall]] = {}  # by name, in the order of the calls
         self._settings = settings
         self._random = random
         self._congested_at = -inf  # the last sign of a congested counter
 
-    def name(self, now: float, customer: CustomerQuota) -> CounterName:
+    def current_name(self, now: float, customer: CustomerQuota) -> CounterName:
         """Return a customer's present name; customers change theirs at different moments."""
         offset_ms = customer.number * HASH_FACTOR % 2**32 / 2**32 * NAME_TTL_MS
         period, age_ms = divmod(now + offset_ms, NAME_TTL_MS)
         return CounterName(int(period) << 33 | customer.number, age_ms)
 
-    def probably_granted(self, now: float, customer: CustomerQuota) -> bool:
+    def draw_admission(self, now: float, customer: CustomerQuota) -> bool:
         """Draw whether units beyond the bucket are taken to be in the shared balance."""
         probability = customer.admission_probability(now, self.counter_call_rate)
         return self._random.random() < probability
 
-    def may_ask(self, now: float, request: PendingRequest) -> bool:
+    def should_ask_counter(self, now: float, request: PendingRequest) -> bool:
         """Return whether a request is to be held while the counter is asked for its units."""
         if not self.enabled or not self._draw_call():
             return False
@@ -83,7 +83,7 @@
         has_use = request.customer.unreported_units + request.event.units > 0
         return has_use and replied_by < request.deadline
 
-    def settle(
+    def report_usage(
         self, now: float, customer: CustomerQuota, request: PendingRequest | None = None
     ) -> Actions:
         """Report use, that of a held request included, or return what was not used, in batches."""
@@ -104,17 +104,17 @@
     ) -> CounterCall | None:
         """Learn from a reply and return its call, if any; pending: the requests that still wait.
 
-        settle_after_reply is to follow once the request held for it is sent or rejected.
+        report_after_reply is to follow once the request held for it is sent or rejected.
         """
-        calls = self.unanswered.get(event.name)
+        calls = self.pending_calls.get(event.name)
         if not calls:
             return None
         call = calls.popleft()
         if not calls:
-            del self.unanswered[event.name]
+            del self.pending_calls[event.name]
         self._adjust_call_rate(now, event)
         waits = call.request is not None and call.request.event.request in pending
-        name = self.name(now, call.customer)
+        name = self.current_name(now, call.customer)
         if event.outcome is Outcome.OK and name.number == event.name:
             self._apply_total(now, call, event.total, name.age_ms, waits)
         else:
@@ -123,23 +123,23 @@
             call.request = None
         return call
 
-    def settle_after_reply(self, now: float, call: CounterCall) -> Actions:
+    def report_after_reply(self, now: float, call: CounterCall) -> Actions:
         """Report what the reply has left to report, and put the name's total right."""
         customer = call.customer
         if call.surplus is None:
             return []
-        actions = self.settle(now, customer) if customer.unreported_units <= 0 else []
+        actions = self.report_usage(now, customer) if customer.unreported_units <= 0 else []
         if abs(call.surplus) > MAX_DRIFT_FRACTION * customer.plan.burst:
             # of two gateways that correct it at once the later takes its correction back
-            use = min(call.surplus, 0.0)
+            reported_units = min(call.surplus, 0.0)
             correction = max(call.surplus, 0.0)
-            actions.append(self._call(now, CounterCall(customer, use, correction, None)))
+            actions.append(self._call(now, CounterCall(customer, reported_units, correction, None)))
         return actions
 
     def _call(self, now: float, call: CounterCall) -> AddToCounter:
-        name = self.name(now, call.customer).number
-        self.unanswered.setdefault(name, deque()).append(call)
-        return AddToCounter(name, call.use + call.correction, NAME_TTL_MS)
+        name = self.current_name(now, call.customer).number
+        self.pending_calls.setdefault(name, deque()).append(call)
+        return AddToCounter(name, call.reported_units + call.correction, NAME_TTL_MS)
 
     def _draw_call(self) -> bool:
         return self._random.random() * FULL_CALL_RATE < self.counter_call_rate
@@ -158,26 +158,28 @@
     def _apply_failure(self, call: CounterCall, outcome: Outcome) -> None:
         # a call whose connection was lost was most likely never read; one timed out is under way
         not_applied = outcome.never_ran or outcome is Outcome.RESET
-        call.grant = Grant.COUNTER_UNAWARE if not_applied else Grant.COUNTER
+        call.grant = Grant.COUNTER_NOT_APPLIED if not_applied else Grant.COUNTER
         if not_applied:
             held_units = call.request.event.units if call.request is not None else 0.0
-            call.customer.unreported_units += call.use - held_units
+            call.customer.unreported_units += call.reported_units - held_units
 
     def _apply_total(
         self, now: float, call: CounterCall, total: float, age_ms: float, waits: bool
     ) -> None:
         customer = call.customer
         request = call.request
-        use = call.use
+        reported_units = call.reported_units
         customer.refill(now)
-        before = total - use - call.correction
-        call.surplus = customer.apply_counter_total(now, before, use, age_ms) - call.correction
+        before = total - reported_units - call.correction
+        call.surplus = (
+            customer.apply_counter_total(now, before, reported_units, age_ms) - call.correction
+        )
         balance = customer.shared_balance
-        if request is not None and waits and balance + use >= request.event.units:
+        if request is not None and waits and balance + reported_units >= request.event.units:
             call.grant = Grant.COUNTER
         # what is beyond the quota takes nothing from the balance, so it is returned
-        beyond = min(max(use, 0.0), max(0.0, -balance))
+        beyond = min(max(reported_units, 0.0), max(0.0, -balance))
         if request is not None and call.grant is None:
-            beyond = use
+            beyond = reported_units
         customer.unreported_units -= beyond
         customer.shared_balance += beyond
--- a/sumacpost/policy/retries.py
+++ b/sumacpost/policy/retries.py
@@ -22,7 +22,7 @@
         self._settings = settings
         self.retry_tokens = MAX_RETRY_TOKENS
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Add what one request earns to the retry budget."""
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_RATIO)
 
@@ -36,14 +36,16 @@
     def permits_rejection(self, request: PendingRequest) -> bool:
         """Return whether the client may be told to come back, which it may do at any backend."""
         scope = request.request_class.deduplication_scope
-        return request.is_repeatable or (request.has_key and scope is DeduplicationScope.ALL)
+        return request.is_repeatable or (
+            request.has_idempotency_key and scope is DeduplicationScope.ALL
+        )
 
     def hedge_timer(self, now: float, request: PendingRequest, overdue_after_ms: float) -> Actions:
         """Return the timer to look at the attempt sent last, if another could follow it then."""
         settings = self._settings
         idempotency = request.request_class.idempotency
         repeatable = settings.hedging and idempotency is not Idempotency.NOT_IDEMPOTENT
-        attempt_left = len(request.tried) < settings.max_attempts
+        attempt_left = len(request.attempted_backends) < settings.max_attempts
         if not repeatable or not attempt_left or now + overdue_after_ms >= request.deadline:
             return []
         label = request.event.request * settings.max_attempts + request.last_attempt
--- a/sumacpost/policy/return_queue.py
+++ b/sumacpost/policy/return_queue.py
@@ -24,7 +24,7 @@
         self.unit_sum += units
         self.squared_unit_sum += units * units
 
-    def keep_appointment(self) -> None:
+    def record_return(self) -> None:
         """Remove the first appointment: its client has come back."""
         if self.appointments:
             self.appointments.popleft()
--- a/sumacpost/policy/service_time.py
+++ b/sumacpost/policy/service_time.py
@@ -5,7 +5,9 @@
 
 BLOCK_SIZE = 30  # observations that are averaged
 KEPT_BLOCKS = 8
-DEVIATIONS = 1.5  # of a mean, in standard deviations as large as the mean: it may be longer by it
+MARGIN_DEVIATIONS = (
+    1.5  # of a mean, in standard deviations as large as the mean: it may be longer by it
+)
 MAX_STEP = 4.0  # an observation counts for this times what is known at most
 
 
@@ -17,23 +19,23 @@
     its work: small requests wait as long as large ones, and would weigh too much one by one.
     """
 
-    def __init__(self, first_ms: float) -> None:
+    def __init__(self, initial_ms: float) -> None:
         """Take what is believed before the first observation; it weighs as much as one."""
-        self._mean_ms = first_ms
-        self._first_ms = first_ms
+        self._mean_ms = initial_ms
+        self._initial_ms = initial_ms
         self._observations = 1  # that the mean is of
         self._blocks: deque[float] = deque(maxlen=KEPT_BLOCKS)
         self._count = 0  # of the block that is being filled
         self._elapsed_ms = 0.0
         self._requests = 0.0  # of usual work
 
-    def longest_ms(self, gateways: int) -> float:
+    def upper_bound_ms(self, gateways: int) -> float:
         """Return what a request of usual work takes, or more where little is known of it.
 
         gateways: how many share what is decided by it. Their errors cancel out, as each has
         observations of its own.
         """
-        return self._mean_ms * (1 + DEVIATIONS / sqrt(self._observations * gateways))
+        return self._mean_ms * (1 + MARGIN_DEVIATIONS / sqrt(self._observations * gateways))
 
     def observe(self, elapsed_ms: float, requests: float) -> None:
         """Take in what a request took, and how many of usual work it stands for."""
@@ -49,6 +51,6 @@
             self._requests = 0.0
         elif not self._blocks:
             known = self._requests + self._requests / self._count
-            first_ms = self._first_ms * self._requests / self._count
-            self._mean_ms = (self._elapsed_ms + first_ms) / known
+            initial_ms = self._initial_ms * self._requests / self._count
+            self._mean_ms = (self._elapsed_ms + initial_ms) / known
             self._observations = self._count + 1
--- a/sumacpost/policy/slow_start.py
+++ b/sumacpost/policy/slow_start.py
@@ -6,11 +6,11 @@
 from sumacpost.policy.backend import Backend
 from sumacpost.policy.endpoint_table import EndpointTable
 from sumacpost.policy.fleet_estimate import FleetEstimate
-from sumacpost.policy.slow_start_budget import share, window_units
+from sumacpost.policy.slow_start_budget import gateway_share, window_units
 from sumacpost.policy.subsetting import UINT64_MASK, splitmix64
 
-OVERLOAD_FRACTION = 0.8  # of what overloads a warm backend or a core: it may be a slower one
-ROUNDED_OFF = 0.5  # of a request
+OVERLOAD_SAFETY_FRACTION = 0.8  # of what overloads a warm backend or a core: it may be a slower one
+ROUNDING_REQUESTS = 0.5  # of a request
 ARRIVAL_SPREAD_MS = 50.0  # by which attempts may arrive closer together than they were sent
 
 
@@ -23,58 +23,62 @@
         self._settings = settings
         self._endpoints = endpoints
         self._estimate = estimate
-        self._span_ms = settings.overload_window_ms + ARRIVAL_SPREAD_MS
+        self._window_ms = settings.overload_window_ms + ARRIVAL_SPREAD_MS
         self._first_event_at = inf
 
-    def start(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Take note of the first event of this gateway's life; later ones change nothing."""
         self._first_event_at = min(self._first_event_at, now)
 
-    def admits(self, now: float, backend: Backend, work: float) -> bool:
+    def admits(self, now: float, backend: Backend, work_ms: float) -> bool:
         """Return whether a backend is warm, or its budget here has room for work of so many ms.
 
         Half a request of mean work is rounded off, so that a share of one request is of use to the
         larger half of them too.
         """
         # at the begin of each window that the attempt will be in, the backend is at least as warm
-        warmth = backend.warmth(now - self._span_ms, self._settings)
-        if warmth >= 1:
+        capacity_fraction = backend.capacity_fraction(now - self._window_ms, self._settings)
+        if capacity_fraction >= 1:
             return True
-        if self._may_have_spent_before(now, backend):
+        if self._budget_may_be_spent(now, backend):
             return False
-        allowed = self._share(now, backend, warmth)
+        allowed = self._window_share(now, backend, capacity_fraction)
         if not allowed:
             return False
-        used = backend.recent_work.total(now - self._span_ms) + work
-        return used <= (allowed + ROUNDED_OFF) * self._estimate.usual_work
+        used = backend.recent_work.total(now - self._window_ms) + work_ms
+        return used <= (allowed + ROUNDING_REQUESTS) * self._estimate.long_term_mean_work_ms
 
-    def sent(self, now: float, backend: Backend, request: int, number: int, work: float) -> None:
+    def record_send(
+        self, now: float, backend: Backend, request: int, number: int, work_ms: float
+    ) -> None:
         """Count an attempt that is being sent, or written later than it was sent."""
-        if backend.warmth(now - self._span_ms, self._settings) < 1:
-            backend.recent_work.add((request, number), now, work)
+        if backend.capacity_fraction(now - self._window_ms, self._settings) < 1:
+            backend.recent_work.add((request, number), now, work_ms)
 
-    def _may_have_spent_before(self, now: float, backend: Backend) -> bool:
+    def _budget_may_be_spent(self, now: float, backend: Backend) -> bool:
         """Return whether an earlier life of this gateway may have spent the budget of a backend.
 
         Not where the backend has started in this life. Where no backend is warm, all have started
         together, and there is nothing else to send to.
         """
-        if now - self._first_event_at >= self._span_ms:
+        if now - self._first_event_at >= self._window_ms:
             return False
         if backend.endpoint.up_since_ms >= self._first_event_at:
             return False
         backends = self._endpoints.backends
         members = self._endpoints.subset.members()
-        return any(backends[number].warmth(now, self._settings) >= 1 for number in members)
+        return any(
+            backends[number].capacity_fraction(now, self._settings) >= 1 for number in members
+        )
 
-    def _share(self, now: float, backend: Backend, warmth: float) -> int:
+    def _window_share(self, now: float, backend: Backend, capacity_fraction: float) -> int:
         """Return the requests of mean work that this gateway may send in the present period."""
         subset = self._endpoints.subset
         number = backend.endpoint.backend
         rank = subset.rank_of(number)
         if rank is None:
             return 0  # the gateways that have it in their subsets share all of the budget
-        gateways = subset.gateways_of(number)
+        gateways = subset.gateway_count(number)
         # counted from its start, which all gateways know, whatever their clocks say
         age_ms = now - backend.endpoint.up_since_ms
         period = int(age_ms // self._settings.overload_window_ms)
@@ -83,19 +87,19 @@
             backend.slow_start_key = key
             draw = splitmix64((splitmix64(number) + period) & UINT64_MASK)
             rounding = (draw >> 32) / (1 << 32)
-            expected = self._expected_requests(warmth, gateways)
+            expected = self._expected_requests(capacity_fraction, gateways)
             units = window_units(expected, gateways, rounding)
-            backend.slow_start_share = share(units, gateways, (rank + draw) % gateways)
+            backend.slow_start_share = gateway_share(units, gateways, (rank + draw) % gateways)
         return backend.slow_start_share
 
-    def _expected_requests(self, warmth: float, gateways: int) -> float:
+    def _expected_requests(self, capacity_fraction: float, gateways: int) -> float:
         """Return what a backend bears in a window without the allowance for chance, or less.
 
         By the load reports of warm ones, or as if it had one core where there are none. Its own
         reports are of a few requests each, and may say ten times what it can do.
         """
         settings = self._settings
-        service_ms = self._estimate.service_time.longest_ms(gateways)
-        warm_per_ms = max(1 / service_ms, self._estimate.warm_capacity / 1000)
-        per_ms = OVERLOAD_FRACTION * warmth * warm_per_ms
+        service_ms = self._estimate.service_time.upper_bound_ms(gateways)
+        warm_per_ms = max(1 / service_ms, self._estimate.warm_capacity_per_s / 1000)
+        per_ms = OVERLOAD_SAFETY_FRACTION * capacity_fraction * warm_per_ms
         return per_ms * settings.overload_factor * settings.overload_window_ms
--- a/sumacpost/policy/slow_start_budget.py
+++ b/sumacpost/policy/slow_start_budget.py
@@ -20,16 +20,16 @@
 NOTIFIED_FRACTION = 2 / 3  # of a fall: with less of it from those that know, it is not theirs
 
 
-def bearable_requests(expected: float) -> float:
+def tolerated_requests(expected: float) -> float:
     """Return the requests of mean work that a backend bears in a window.
 
     expected: N, or less. The allowance is smaller from FEW_REQUESTS on, and N may be there.
     """
     many = max(expected, FEW_REQUESTS)
-    bearable = many + 2 * sqrt(many) + 2
+    tolerated = many + 2 * sqrt(many) + 2
     if expected < FEW_REQUESTS:
-        bearable = min(bearable, expected + 3 * sqrt(expected) + 3)
-    return bearable
+        tolerated = min(tolerated, expected + 3 * sqrt(expected) + 3)
+    return tolerated
 
 
 def window_units(expected: float, gateways: int, rounding: float) -> int:
@@ -38,12 +38,12 @@
     expected: N, or less.
     rounding: in [0, 1), the same for all gateways; decides about the part of a request.
     """
-    limit = int(NOTIFIED_FRACTION * bearable_requests(expected))
+    limit = int(NOTIFIED_FRACTION * tolerated_requests(expected))
     for_all = limit // gateways * gateways
     for_some = (limit - for_all) // 2  # two periods meet in a window
     return min(int(expected + rounding), for_all + for_some)
 
 
-def share(units: int, gateways: int, place: int) -> int:
+def gateway_share(units: int, gateways: int, place: int) -> int:
     """Return what the gateway at a place in a period's order gets; places are from 0."""
     return (units + place) // gateways
--- a/sumacpost/policy/subsetting.py
+++ b/sumacpost/policy/subsetting.py
@@ -39,15 +39,15 @@
         self.index = index
         self.partition_count = partition_count
 
-    def holds(self, backend: int) -> bool:
+    def contains(self, backend: int) -> bool:
         """Return whether the backend is of this gateway's partition."""
-        return self.partition_count == 1 or self.holds_hash(splitmix64(backend))
+        return self.partition_count == 1 or self.contains_hash(splitmix64(backend))
 
-    def holds_hash(self, backend_hash: int) -> bool:
+    def contains_hash(self, backend_hash: int) -> bool:
         """Return whether the backend with this hash is of this gateway's partition."""
         return backend_hash % self.partition_count == self.index % self.partition_count
 
-    def grow_for(self, listed: int) -> bool:
+    def split_to_fit(self, listed: int) -> bool:
         """Divide until a list of this length fits; return whether that changed the partition."""
         before = self.partition_count
         while listed > self.partition_count * MAX_PARTITION_BACKENDS and self._is_divisible():
@@ -129,7 +129,7 @@
             self._update()
         return self._members
 
-    def gateways_of(self, backend: int) -> int:
+    def gateway_count(self, backend: int) -> int:
         """Return how many gateways send to this backend, all shards together."""
         if not self._is_current:
             self._update()
@@ -138,7 +138,7 @@
     def rank_of(self, backend: int) -> int | None:
         """Return this gateway's place among those that send to a backend; None: it is not one.
 
-        Places are from 0, below gateways_of(backend).
+        Places are from 0, below gateway_count(backend).
         """
         if not self._is_current:
             self._update()
--- a/sumacpost/server/connection.py
+++ b/sumacpost/server/connection.py
@@ -15,7 +15,7 @@
 from sumacpost.http1 import MAX_BODY, MAX_HEAD
 from sumacpost.policy.connection_rules import (
     CloseObstacle,
-    ConnectionFacts,
+    ConnectionSnapshot,
     close_obstacle,
     is_last_response,
 )
@@ -167,7 +167,7 @@
     def close_obstacle(self) -> CloseObstacle | None:
         """Return why the connection may not simply be closed now, if anything."""
         return close_obstacle(
-            ConnectionFacts(
+            ConnectionSnapshot(
                 responses_owed=len(self._pending_responses),
                 buffered_bytes=self._unread_bytes,
                 has_partial_message=self._reader.has_partial_message,
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -64,7 +64,7 @@
     assert most_held <= 1.1 * MAX_PARTITION_BACKENDS  # partitions differ a little in size
     assert update.partition_count == 32
     assert {entry.backend for entry in update.entries} == set(addresses)
-    assert all(parser.partition.holds(entry.backend) for entry in update.entries)
+    assert all(parser.partition.contains(entry.backend) for entry in update.entries)
 
     # Of the changes that follow, only those to the partition are held either.
     changed = reader.read(encode(changes(42, range(20_000, 20_640), "leaving"))).update
@@ -86,8 +86,8 @@
     reader = EndpointListReader((), (), GATEWAYS, 77, has_cell_scope=True)
     update = reader.read(encode(full_list(33_000))).update
     partition = reader.new_parser().partition
-    inside = [entry for entry in update.entries if partition.holds(entry.backend)]
-    peers = [entry for entry in update.entries if not partition.holds(entry.backend)]
+    inside = [entry for entry in update.entries if partition.contains(entry.backend)]
+    peers = [entry for entry in update.entries if not partition.contains(entry.backend)]
     assert update.partition_count == 64
     assert len(inside) <= MAX_PARTITION_BACKENDS
     assert len(peers) <= DEDUPLICATION_PEERS * len(inside)
@@ -111,8 +111,8 @@
 def test_deduplication_peers_are_used_for_retries_alone() -> None:
     gateway = Gateway(settings(gateways=GATEWAYS, index=0, classes=(KEYED,)), 7)
     partition = Partition(GATEWAYS, 0, 64)
-    inside = [n for n in range(1, 5000) if partition.holds(n)][:40]
-    peers = [n for n in range(1, 5000) if not partition.holds(n)][:80]
+    inside = [n for n in range(1, 5000) if partition.contains(n)][:40]
+    peers = [n for n in range(1, 5000) if not partition.contains(n)][:80]
     entries = [Endpoint(n, cell=position % 40) for position, n in enumerate([*inside, *peers])]
     gateway.handle(START, EndpointListUpdate(UpdateKind.FULL, entries, partition_count=64))
     assert {ready.backend for ready in gateway.endpoints.subset.ready} == set(inside)
--- a/tests/policy/test_attempt_rules.py
+++ b/tests/policy/test_attempt_rules.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sumacpost.model import Obstacle, RequestClass, Send
-from sumacpost.policy.attempt_rules import REACH_MS, repeat_obstacle, write_obstacle
+from sumacpost.policy.attempt_rules import ARRIVAL_MARGIN_MS, repeat_obstacle, write_obstacle
 from sumacpost.policy.backend import InFlightAttempt
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.pending_request import PendingRequest
@@ -34,8 +34,8 @@
 
 def add_attempt(subject: Gateway, pending: PendingRequest, same_cell: bool) -> int:
     """Note a second attempt, at another backend of the same or another cell; return its number."""
-    first = pending.tried[0].endpoint
-    pending.tried.append(
+    first = pending.attempted_backends[0].endpoint
+    pending.attempted_backends.append(
         next(
             backend
             for backend in subject.endpoints.backends.values()
@@ -67,7 +67,7 @@
 def test_a_keyed_request_is_repeated_only_where_it_arrives_within_the_window() -> None:
     _, pending = sent_request(KEYED)
     pending.record_possible_execution(0, START)
-    reach_ms = SETTINGS.connect_timeout_ms + REACH_MS
+    reach_ms = SETTINGS.connect_timeout_ms + ARRIVAL_MARGIN_MS
     last = START + KEYED.deduplication_window_ms - reach_ms
     assert repeat_obstacle(last - 1, pending, SETTINGS) is None
     assert repeat_obstacle(last, pending, SETTINGS) is Obstacle.WINDOW_OVER
@@ -115,7 +115,7 @@
     assert write_obstacle(pending.deadline, pending, 0, True, SETTINGS) is Obstacle.DEADLINE
     pending.record_possible_execution(0, START)
     number = add_attempt(subject, pending, True)
-    late = START + KEYED.deduplication_window_ms - REACH_MS
+    late = START + KEYED.deduplication_window_ms - ARRIVAL_MARGIN_MS
     assert write_obstacle(late, pending, number, True, SETTINGS) is Obstacle.WINDOW_OVER
 
 
--- a/tests/policy/test_connection_rules.py
+++ b/tests/policy/test_connection_rules.py
@@ -6,26 +6,26 @@
 
 from sumacpost.policy.connection_rules import (
     CloseObstacle,
-    ConnectionFacts,
+    ConnectionSnapshot,
     close_obstacle,
     is_last_response,
 )
 
 
 @pytest.mark.parametrize(
-    ("facts", "obstacle"),
+    ("snapshot", "obstacle"),
     [
-        (ConnectionFacts(0, 0, False, False), None),
-        (ConnectionFacts(1, 5, True, True), CloseObstacle.RESPONSE_OWED),
-        (ConnectionFacts(0, 5, True, True), CloseObstacle.REQUEST_READ),
-        (ConnectionFacts(0, 0, True, True), CloseObstacle.REQUEST_INCOMPLETE),
-        (ConnectionFacts(0, 0, False, True), CloseObstacle.REQUEST_UNREAD),
+        (ConnectionSnapshot(0, 0, False, False), None),
+        (ConnectionSnapshot(1, 5, True, True), CloseObstacle.RESPONSE_OWED),
+        (ConnectionSnapshot(0, 5, True, True), CloseObstacle.REQUEST_READ),
+        (ConnectionSnapshot(0, 0, True, True), CloseObstacle.REQUEST_INCOMPLETE),
+        (ConnectionSnapshot(0, 0, False, True), CloseObstacle.REQUEST_UNREAD),
     ],
 )
 def test_a_connection_is_closed_only_at_rest(
-    facts: ConnectionFacts, obstacle: CloseObstacle | None
+    snapshot: ConnectionSnapshot, obstacle: CloseObstacle | None
 ) -> None:
-    assert close_obstacle(facts) is obstacle
+    assert close_obstacle(snapshot) is obstacle
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/test_fleet_scale.py
+++ b/tests/policy/test_fleet_scale.py
@@ -93,5 +93,5 @@
     for backend in range(2, 500):
         g.handle(START, fleet(backend, kind=UpdateKind.FULL))
     assert list(g.endpoints.backends) == [499]
-    assert sum(len(group) for group in g.endpoints.groups.values()) == 2
+    assert sum(len(group) for group in g.endpoints.ready_by_group.values()) == 2
     assert len(g.endpoints.subset.ready) == 1
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -128,12 +128,12 @@
         later = overdue.now + 1
         g.handle(later, ended(number, second.backend, attempt=1, elapsed_ms=1))
         inflation = g.endpoints.backends[overdue.first.backend].inflation_by_class[IDEMPOTENT]
-        before = inflation.inflation(later)
+        before = inflation.current(later)
         cancelled = ended(
             number, overdue.first.backend, Outcome.CANCELLED, elapsed_ms=later - sent_at
         )
         g.handle(later, cancelled)
-        assert inflation.inflation(later) > before + 0.1
+        assert inflation.current(later) > before + 0.1
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -18,7 +18,7 @@
     send = the_only(Send, g.handle(START + 1, request(1, request_class=0)))
     g.handle(START + 100, ended(1, send.backend, Outcome.RESET))
     backend = g.endpoints.backends[send.backend]
-    first, *others = [inflation.inflation(START + 100) for inflation in backend.inflation_by_class]
+    first, *others = [inflation.current(START + 100) for inflation in backend.inflation_by_class]
     assert 1 < first <= 3
     assert others == [1.0] * len(others)
 
@@ -28,7 +28,7 @@
     g = gateway(plans=(NO_QUOTA,))
     send = the_only(Send, g.handle(START, request(1)))
     g.handle(START + 4000, ended(1, send.backend, Outcome.TIMEOUT, elapsed_ms=4000.0))
-    assert g.estimate.inflation.inflation(START + 4000) < 2
+    assert g.estimate.inflation.current(START + 4000) < 2
 
 
 def test_overloaded_fleet_gets_a_request_now_and_then() -> None:
@@ -66,7 +66,7 @@
     overdue = g.endpoints.backends[send.backend]
     idle = g.endpoints.backends[3 - send.backend]
     forecast = g.load_balancer.forecast
-    fleet_inflation = g.estimate.inflation.inflation(later)
+    fleet_inflation = g.estimate.inflation.current(later)
     assert forecast(later, overdue, g.pending[1], fleet_inflation) > 1000
     assert forecast(later, idle, g.pending[1], fleet_inflation) < 1000
 
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -211,7 +211,7 @@
     g = Gateway(settings(plans=(Plan(rate=2, burst=8),)), 1)
     for n in range(1, 100):
         g.handle(START, fleet(n))
-    assert len(g.endpoints.groups) == 2
+    assert len(g.endpoints.ready_by_group) == 2
     assert len(g.endpoints.subset.ready) == 1
     for n in range(3000):
         g.handle(START + n * 100, request(n, customer=n))
@@ -232,4 +232,4 @@
                     todo += g.handle(now, ended(number, backend))
     assert len(g.customers.by_number) <= 601
     assert not g.pending
-    assert not g.quota_sync.unanswered
+    assert not g.quota_sync.pending_calls
--- a/tests/policy/test_quota_sync.py
+++ b/tests/policy/test_quota_sync.py
@@ -61,18 +61,18 @@
 
 def total_of_an_empty_balance(g: Gateway, call: AddToCounter, now: float = START + 3) -> float:
     customer = g.customers.by_number[call.name & (2**33 - 1)]
-    return PLAN.burst + g.quota_sync.name(now, customer).age_ms / 1000 * PLAN.rate
+    return PLAN.burst + g.quota_sync.current_name(now, customer).age_ms / 1000 * PLAN.rate
 
 
 def overload(g: Gateway) -> None:
     """Let work from here stand at every backend, far past what any class may wait for."""
     for backend in g.endpoints.backends.values():
-        backend.outstanding_work = 1e6
+        backend.outstanding_work_ms = 1e6
         backend.in_flight[0, 0] = InFlightAttempt(START, 100.0, 1.0, 0, START + 1e6)
 
 
 def waiting_requests(g: Gateway) -> list[object]:
-    calls = [call for queue in g.quota_sync.unanswered.values() for call in queue]
+    calls = [call for queue in g.quota_sync.pending_calls.values() for call in queue]
     return [call.request for call in calls if call.request]
 
 
@@ -128,7 +128,7 @@
     (rejection,) = g.handle(START, request(1, gateway_spread=200))
     assert isinstance(rejection, Reject)
     assert rejection.retry_after_ms > 0
-    assert not g.quota_sync.unanswered
+    assert not g.quota_sync.pending_calls
 
 
 def test_granted_request_is_sent_though_the_fleet_is_overloaded_meanwhile() -> None:
@@ -218,7 +218,7 @@
     g = gateway(plans=(PLAN,), gateways=4, counter=True, counter_timeout_ms=50.0)
     g.quota_sync.counter_call_rate = counter_call_rate
     call = the_only(AddToCounter, g.handle(START, request(1, gateway_spread=4, units=8.0)))
-    age_ms = g.quota_sync.name(START, g.customers.by_number[9]).age_ms
+    age_ms = g.quota_sync.current_name(START, g.customers.by_number[9]).age_ms
     used_up = PLAN.burst + age_ms / 1000 * PLAN.rate + call.amount + 2.0
     actions = g.handle(START + 10, CounterReplied(call.name, Outcome.OK, 10.0, used_up))
     assert of_type(actions, Reject)
@@ -235,7 +235,7 @@
 
 def test_replies_for_the_last_name_and_for_no_call_do_no_harm() -> None:
     g = gateway(*BACKENDS, **THIN_SHARE)
-    age_ms = g.quota_sync.name(START, CustomerQuota(PLAN, 200, START, 9)).age_ms
+    age_ms = g.quota_sync.current_name(START, CustomerQuota(PLAN, 200, START, 9)).age_ms
     name_change = START + 60_000 - age_ms
     call = ask(g, 2, name_change - 1, units=4.0)
     assert reply(g, AddToCounter(77, 0.0, 0.0), 5.0) == []
@@ -255,7 +255,9 @@
         total += call.amount
         calls += 1
         waiting += [(g, further) for further in of_type(reply(g, call, total), AddToCounter)]
-    age_ms = gateways[0].quota_sync.name(START + 3, gateways[0].customers.by_number[9]).age_ms
+    age_ms = (
+        gateways[0].quota_sync.current_name(START + 3, gateways[0].customers.by_number[9]).age_ms
+    )
     balance = PLAN.burst - total + age_ms / 1000 * PLAN.rate
     assert PLAN.burst - 21 <= balance <= PLAN.burst + 1e-6
     assert calls <= 16
--- a/tests/policy/test_return_queue.py
+++ b/tests/policy/test_return_queue.py
@@ -25,7 +25,7 @@
     customer: CustomerQuota,
 ) -> None:
     """With 2 units a request and sigma 0 there is one return a second."""
-    waits = [customer.return_time(START, 2.0, 0.0) for _ in range(3)]
+    waits = [customer.schedule_return(START, 2.0, 0.0) for _ in range(3)]
     # 1st: length 1, now + 1000 - end (now) = 1000, not < 1000: append at end + 1000.
     # 2nd: length 2, now + 2000 - (now + 1000) = 1000: append. 3rd the same.
     assert waits == pytest.approx([1000, 2000, 3000])
@@ -35,26 +35,26 @@
 
 def test_return_is_inserted_when_the_rate_has_risen(customer: CustomerQuota) -> None:
     for _ in range(3):
-        customer.return_time(START, 2.0, 0.0)
+        customer.schedule_return(START, 2.0, 0.0)
     customer.quota_share = 1.0  # 8 units a second: a return each 250 ms
     # Length 4: now + 1000 - (now + 3000) < 250: insert at now + 1000, the end stays.
-    assert customer.return_time(START, 2.0, 0.0) == pytest.approx(1000)
+    assert customer.schedule_return(START, 2.0, 0.0) == pytest.approx(1000)
     assert customer.return_queue.end_of_queue_time == pytest.approx(START + 3000)
 
 
 def test_end_of_queue_in_the_past_becomes_now(customer: CustomerQuota) -> None:
-    customer.return_time(START, 2.0, 0.0)
-    assert customer.return_time(START + 5000, 2.0, 0.0) == pytest.approx(1000)
+    customer.schedule_return(START, 2.0, 0.0)
+    assert customer.schedule_return(START + 5000, 2.0, 0.0) == pytest.approx(1000)
     assert customer.return_queue.end_of_queue_time == pytest.approx(START + 6000)
 
 
 def test_spread_of_units_raises_the_rate_of_returns(customer: CustomerQuota) -> None:
     customer.return_queue.record_units(1.0)
     # One response: sigma counts as 0; 2 units a second / 1 unit.
-    assert customer.return_time(START, 5.0, 0.0) == pytest.approx(500)
+    assert customer.schedule_return(START, 5.0, 0.0) == pytest.approx(500)
     customer.return_queue.record_units(3.0)
     # mu 2, sigma 1: 2 / 2 x 1.5 a second; two in line: append one interval after the end at 500.
-    assert customer.return_time(START, 5.0, 0.0) == pytest.approx(500 + 2000 / 3)
+    assert customer.schedule_return(START, 5.0, 0.0) == pytest.approx(500 + 2000 / 3)
 
 
 def test_queue_length_is_never_negative() -> None:
@@ -65,8 +65,8 @@
 
 def test_due_appointments_leave_the_queue(customer: CustomerQuota) -> None:
     for _ in range(3):
-        customer.return_time(START, 2.0, 0.0)
-    customer.return_time(START + 2000, 2.0, 0.0)
+        customer.schedule_return(START, 2.0, 0.0)
+    customer.schedule_return(START + 2000, 2.0, 0.0)
     assert queue_length(customer) == 2  # the third, and the new one
 
 
@@ -87,15 +87,15 @@
 
 def test_missed_appointment_expires(customer: CustomerQuota) -> None:
     """Clients that never return would otherwise keep their places for ever."""
-    customer.return_time(START, 2.0, 2000.0)
-    customer.return_time(START + 2999, 2.0, 2000.0)
+    customer.schedule_return(START, 2.0, 2000.0)
+    customer.schedule_return(START + 2999, 2.0, 2000.0)
     assert queue_length(customer) == 2
-    customer.return_time(START + 9000, 2.0, 2000.0)
+    customer.schedule_return(START + 9000, 2.0, 2000.0)
     assert queue_length(customer) == 1
 
 
 def test_queue_of_clients_that_return_at_once_is_bounded() -> None:
     customer = CustomerQuota(Plan(rate=1, burst=4), 1, START)
-    waits = [customer.return_time(START + n, 1.0, 0.0) for n in range(5000)]
+    waits = [customer.schedule_return(START + n, 1.0, 0.0) for n in range(5000)]
     assert max(waits) <= 10_000
     assert queue_length(customer) <= 20
--- a/tests/policy/test_service_time.py
+++ b/tests/policy/test_service_time.py
@@ -18,18 +18,18 @@
 
 def test_few_observations_leave_a_margin_that_gateways_share() -> None:
     one = observed(*[100.0] * 9)
-    assert one.longest_ms(1) > one.longest_ms(10) > 100
+    assert one.upper_bound_ms(1) > one.upper_bound_ms(10) > 100
 
 
 def test_a_congested_block_does_not_raise_it_while_calm_ones_are_known() -> None:
     calm = observed(*[100.0] * 2 * BLOCK_SIZE)
     congested = observed(*[100.0] * 2 * BLOCK_SIZE, *[300.0] * BLOCK_SIZE)
-    assert congested.longest_ms(1) == pytest.approx(calm.longest_ms(1))
+    assert congested.upper_bound_ms(1) == pytest.approx(calm.upper_bound_ms(1))
 
 
 def test_service_that_stays_slower_is_learnt() -> None:
     slower = observed(*[100.0] * 2 * BLOCK_SIZE, *[300.0] * 9 * BLOCK_SIZE)
-    assert 300 <= slower.longest_ms(100) < 320
+    assert 300 <= slower.upper_bound_ms(100) < 320
 
 
 def test_requests_side_by_side_do_not_shorten_it() -> None:
@@ -41,8 +41,8 @@
         sends = [send for n in batch for send in of_type(g.handle(now, request(n)), Send)]
         for send in sends:
             g.handle(now + 100, ended(send.request, send.backend, elapsed_ms=100))
-    assert g.estimate.mean_work < 100
-    assert g.estimate.service_time.longest_ms(1) >= 100
+    assert g.estimate.mean_work_ms < 100
+    assert g.estimate.service_time.upper_bound_ms(1) >= 100
 
 
 def test_a_small_request_weighs_by_its_work() -> None:
@@ -50,4 +50,4 @@
     for _ in range(BLOCK_SIZE // 2):
         service_time.observe(200, 0.2)
         service_time.observe(900, 1.8)
-    assert service_time.longest_ms(10_000) == pytest.approx(1100 / 2, rel=0.01)
+    assert service_time.upper_bound_ms(10_000) == pytest.approx(1100 / 2, rel=0.01)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -203,7 +203,7 @@
 class UnboundedSlowStart(SlowStart):
     """A budget without a bound."""
 
-    def admits(self, now: float, backend: Backend, work: float) -> bool:
+    def admits(self, now: float, backend: Backend, work_ms: float) -> bool:
         return True
 
 
@@ -226,7 +226,7 @@
     for number, report in enumerate([(0.0, 2.0, 0.1), (0.0, 0.0, 0.9), (), (0.0, 9.0, 0.9)]):
         for send in of_type(g.handle(START, request(number)), Send):
             g.handle(START, replace(ended(number, send.backend), report=report))
-    assert g.estimate.warm_capacity == pytest.approx(0.5)  # a twentieth of ten
+    assert g.estimate.warm_capacity_per_s == pytest.approx(0.5)  # a twentieth of ten
 
 
 # ---- the window of one gateway
@@ -269,10 +269,10 @@
 
     def use_up(now: float) -> int:
         """Send requests of mean work until no more are admitted; return how many."""
-        work = g.estimate.usual_work
+        work_ms = g.estimate.long_term_mean_work_ms
         sent = 0
-        while slow_start.admits(now, backend, work):
-            slow_start.sent(now, backend, next(numbers), 0, work)
+        while slow_start.admits(now, backend, work_ms):
+            slow_start.record_send(now, backend, next(numbers), 0, work_ms)
             sent += 1
         return sent
 
--- a/tests/policy/test_slow_start_property.py
+++ b/tests/policy/test_slow_start_property.py
@@ -14,8 +14,8 @@
 
 from sumacpost.policy.slow_start_budget import (
     NOTIFIED_FRACTION,
-    bearable_requests,
-    share,
+    gateway_share,
+    tolerated_requests,
     window_units,
 )
 from tests.support.fleet_simulation import FleetSimulation
@@ -80,16 +80,16 @@
     units = [window_units(expected, gateways, rounding) for rounding in roundings]
     total = sum(
         max(
-            share(period_units, gateways, (rank + shift) % gateways)
+            gateway_share(period_units, gateways, (rank + shift) % gateways)
             for period_units, shift in zip(units, shifts, strict=True)
         )
         for rank in range(gateways)
     )
-    assert total <= NOTIFIED_FRACTION * bearable_requests(expected)
+    assert total <= NOTIFIED_FRACTION * tolerated_requests(expected)
 
 
 @given(expected=st.floats(0, 1e5), more=st.floats(0, 1e4))
 def test_a_backend_that_can_do_more_than_is_known_bears_no_less(
     expected: float, more: float
 ) -> None:
-    assert bearable_requests(expected) <= bearable_requests(expected + more) * (1 + 1e-12)
+    assert tolerated_requests(expected) <= tolerated_requests(expected + more) * (1 + 1e-12)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -120,7 +120,7 @@
             gateway_counts[backend] += count
         assert subset.members() == shard.subsets[0]
         mean_gateways = max(MIN_SUBSET_SIZE, MIN_SUBSET_SIZE * gateways / backends)
-        assert 0.8 <= subset.gateways_of(listed[0]) / mean_gateways <= 1.3 or backends == 1
+        assert 0.8 <= subset.gateway_count(listed[0]) / mean_gateways <= 1.3 or backends == 1
     assert len(subsets) == gateways
     assert min(map(len, subsets)) == min(MIN_SUBSET_SIZE, backends)
     assert max(map(len, subsets)) <= MIN_SUBSET_SIZE + 1
@@ -159,7 +159,7 @@
     gateways = 6900
     listed = random_backends(99_000)
     partition = Partition(gateways, 0)
-    assert partition.grow_for(len(listed))
+    assert partition.split_to_fit(len(listed))
     partition_count = partition.partition_count
     partitions = backends_by_partition(gateways, partition_count, listed)
     assert sum(map(len, partitions)) == len(listed)
@@ -184,9 +184,9 @@
     partitions: list[list[int]] = [[] for _ in range(partition_count)]
     for backend in listed:
         # Of two partitions one holds it, and so on however often these are divided.
-        (half,) = [index for index in range(2) if Partition(gateways, index, 2).holds(backend)]
+        (half,) = [index for index in range(2) if Partition(gateways, index, 2).contains(backend)]
         for index in range(half, partition_count, 2):
-            if Partition(gateways, index, partition_count).holds(backend):
+            if Partition(gateways, index, partition_count).contains(backend):
                 partitions[index].append(backend)
                 break
     return partitions
@@ -195,18 +195,18 @@
 def test_what_one_gateway_holds_does_not_grow_with_the_fleet() -> None:
     for gateways, backends in [(200, 200), (690, 9900), (6900, 99_000), (20_000, 300_000)]:
         partition = Partition(gateways, gateways // 2)
-        partition.grow_for(backends)
+        partition.split_to_fit(backends)
         assert backends / partition.partition_count <= MAX_PARTITION_BACKENDS
         # Enough gateways to spread the backends of the partition evenly.
         assert gateways / partition.partition_count >= 10 * MIN_SUBSET_SIZE
     few_gateways = Partition(3, 0)
-    assert not few_gateways.grow_for(5000)
-    assert few_gateways.holds(7)
+    assert not few_gateways.split_to_fit(5000)
+    assert few_gateways.contains(7)
 
 
 def test_repartitioning_is_needed_beyond_the_bounds_of_a_partition_and_not_at_them() -> None:
     partition = Partition(20_000, 5)
-    partition.grow_for(99_000)
+    partition.split_to_fit(99_000)
     assert partition.needs_repartitioning(2 * MAX_PARTITION_BACKENDS + 1)
     assert partition.needs_repartitioning(MAX_PARTITION_BACKENDS // 4 - 1)
     assert not partition.needs_repartitioning(2 * MAX_PARTITION_BACKENDS)
@@ -215,7 +215,7 @@
 
 def test_repartitioning_is_not_needed_where_it_is_not_possible() -> None:
     fewest_gateways = Partition(6900, 5)
-    fewest_gateways.grow_for(99_000)
+    fewest_gateways.split_to_fit(99_000)
     assert not fewest_gateways.needs_repartitioning(5 * MAX_PARTITION_BACKENDS)
     assert not Partition(6900, 5).needs_repartitioning(3)
     assert not Partition(3, 0).needs_repartitioning(5000)
@@ -226,7 +226,7 @@
     g = gateway(*listed, gateways=640, index=9)
     assert len(g.endpoints.backends) == 400
     partition = Partition(640, 9, 4)
-    held = [backend for backend in listed if partition.holds(backend)]
+    held = [backend for backend in listed if partition.contains(backend)]
     g.handle(START, EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(held[0])], partition_count=4))
     ready = sorted(entry.backend for entry in g.endpoints.subset.ready)
     assert sorted(g.endpoints.backends) == sorted(held) == ready
@@ -243,7 +243,7 @@
         (backend, *_) = g.endpoints.subset.members()
         g.load_balancer.slow_start.admits(START, g.endpoints.backends[backend], 1.0)
         budgets.append(g.endpoints.backends[backend].slow_start_share)
-        gateway_counts.append(g.endpoints.subset.gateways_of(backend))
+        gateway_counts.append(g.endpoints.subset.gateway_count(backend))
     assert gateway_counts[0] == 2
     assert gateway_counts[1] >= MIN_SUBSET_SIZE
     assert budgets[1] <= budgets[0]
--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -90,7 +90,9 @@
             )
         )
         await until(
-            lambda: any(call.request for calls in quota_sync.unanswered.values() for call in calls)
+            lambda: any(
+                call.request for calls in quota_sync.pending_calls.values() for call in calls
+            )
         )
         await until(lambda: len(ingress.counter.requests) > calls_before)
         assert not attempts(ingress)
--- a/tests/server/test_disconnect_races.py
+++ b/tests/server/test_disconnect_races.py
@@ -93,7 +93,7 @@
             await until(
                 lambda: any(
                     call.request
-                    for calls in gateway.quota_sync.unanswered.values()
+                    for calls in gateway.quota_sync.pending_calls.values()
                     for call in calls
                 )
             )
@@ -104,7 +104,7 @@
                 lambda: (
                     not any(
                         call.request
-                        for calls in gateway.quota_sync.unanswered.values()
+                        for calls in gateway.quota_sync.pending_calls.values()
                         for call in calls
                     )
                 )
--- a/tests/test_attempt_rules.py
+++ b/tests/test_attempt_rules.py
@@ -83,7 +83,7 @@
             attempt.written = True  # as if the first attempt had run, unknown to the policy
             (known,) = ingress.gateway.pending.values()
             known.in_flight.clear()
-            known.tried.append(known.tried[0])
+            known.attempted_backends.append(known.attempted_backends[0])
             ingress.bridge._carry_out(Send(pending.number, attempt.backend))
             assert ingress.bridge.recorder.violations == 1
             assert ingress.bridge.recorder.counts[EventKind.VIOLATION, "second_execution"] == 1
--- a/tests/test_hold_up.py
+++ b/tests/test_hold_up.py
@@ -103,7 +103,7 @@
     async def test() -> None:
         async with running_ingress(never_respond, never_respond) as ingress:
             ingress.gateway.estimate.unit_ms = [5.0] * 3
-            ingress.gateway.estimate.mean_work = 5.0
+            ingress.gateway.estimate.mean_work_ms = 5.0
             client = await ingress.client()
             client.write(request("ledger-read", Request_Timeout=LONG_TIMEOUT))
             await ingress.wait_for_requests(1)
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -100,9 +100,9 @@
 
     async def test() -> None:
         async with running_ingress(respond(), settings={"plans": [plan]}) as ingress:
-            before = ingress.gateway.estimate.mean_work
+            before = ingress.gateway.estimate.mean_work_ms
             assert (await ingress.send(request(Quota_Info=quota))).status == 400
-            assert ingress.gateway.estimate.mean_work == before
+            assert ingress.gateway.estimate.mean_work_ms == before
             assert not ingress.gateway.customers.by_number
 
     run(test())
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -61,6 +61,6 @@
         telemetry = {"via": "inline", "fields": ["backlog", "throughput", "utilization"]}
         async with running_ingress(report, settings={"telemetry": telemetry}) as ingress:
             await ingress.send(request())
-            assert ingress.gateway.estimate.warm_capacity == pytest.approx(0.5)  # 1/20 of ten
+            assert ingress.gateway.estimate.warm_capacity_per_s == pytest.approx(0.5)  # 1/20 of ten
 
     run(test())
--- a/tests/upstream/test_stalled_responses.py
+++ b/tests/upstream/test_stalled_responses.py
@@ -35,7 +35,7 @@
 def hasten(ingress: Any) -> None:
     """Make the gateway expect short responses: an attempt is overdue soon."""
     ingress.gateway.estimate.unit_ms = [5.0] * 3
-    ingress.gateway.estimate.mean_work = 5.0
+    ingress.gateway.estimate.mean_work_ms = 5.0
 
 
 @pytest.mark.parametrize("cls", ["ledger-read", "payment-book"])
@@ -103,7 +103,7 @@
             (backend,), (call,) = gateway.endpoints.backends.values(), gateway.pending.values()
 
             def forecast(now: float) -> float:
-                fleet_inflation = gateway.estimate.inflation.inflation(now)
+                fleet_inflation = gateway.estimate.inflation.current(now)
                 return gateway.load_balancer.forecast(now, backend, call, fleet_inflation)
 
             began = clock.now()
