--- a/sumacpost/discovery/endpoint_list.py
+++ b/sumacpost/discovery/endpoint_list.py
@@ -175,7 +175,7 @@
         try:
             backend = backend_id(raw["uid"])
             status = STATUS_BY_NAME[raw["state"]]
-            if self.partition.holds(backend) or self._reader.is_deduplication_peer(backend):
+            if self.partition.contains(backend) or self._reader.is_deduplication_peer(backend):
                 self._stored[backend] = self._reader.parse_entry(backend, status, raw)
             elif self._reader.has_cell_scope:
                 # Most entries are skipped here; only the few candidates are converted.
@@ -185,11 +185,11 @@
         except (KeyError, TypeError, AttributeError, OverflowError, ValueError) as error:
             raise EndpointListError(f"{raw!r:.200}: {error!r}") from error
         self._present_count += status is not EndpointStatus.GONE
-        if self.partition.grow_for(self._present_count):
+        if self.partition.split_to_fit(self._present_count):
             self._drop_other_partitions()
 
     def _drop_other_partitions(self) -> None:
-        for backend in [stored for stored in self._stored if not self.partition.holds(stored)]:
+        for backend in [stored for stored in self._stored if not self.partition.contains(stored)]:
             listed = self._stored.pop(backend)
             endpoint = listed.endpoint
             if self._reader.has_cell_scope and self._peers.is_candidate(
@@ -206,7 +206,7 @@
         peers_by_cell: dict[int, list[BackendId]] = {}
         for backend, listed in self._stored.items():
             cell = listed.endpoint.cell
-            if self.partition.holds(backend):
+            if self.partition.contains(backend):
                 cells.add(cell)
             else:
                 peers_by_cell.setdefault(cell, []).append(backend)
@@ -271,7 +271,7 @@
             self.needs_repartitioning = False
         elif partition.partition_count != self._partition_count:
             self._known_backends = {
-                backend: None for backend in self._known_backends if partition.holds(backend)
+                backend: None for backend in self._known_backends if partition.contains(backend)
             }
             self._partition_backend_count = len(self._known_backends)
         self._partition_count = partition.partition_count
@@ -280,10 +280,10 @@
             is_present = entry.state is not EndpointStatus.GONE
             if is_present and not was_known:
                 self._known_backends[entry.backend] = None
-                self._partition_backend_count += partition.holds(entry.backend)
+                self._partition_backend_count += partition.contains(entry.backend)
             elif was_known and not is_present:
                 del self._known_backends[entry.backend]
-                self._partition_backend_count -= partition.holds(entry.backend)
+                self._partition_backend_count -= partition.contains(entry.backend)
         if partition.needs_repartitioning(self._partition_backend_count):
             self.needs_repartitioning = True
 
--- a/tests/test_attempt_rules.py
+++ b/tests/test_attempt_rules.py
@@ -83,7 +83,7 @@
             attempt.written = True  # as if the first attempt had run, unknown to the policy
             (policy_request,) = ingress.gateway.pending.values()
             policy_request.in_flight.clear()
-            policy_request.tried.append(policy_request.tried[0])
+            policy_request.attempted_backends.append(policy_request.attempted_backends[0])
             ingress.bridge._execute_action(Send(pending.number, attempt.backend))
             assert ingress.bridge.recorder.violation_count == 1
             assert ingress.bridge.recorder.counts[EventKind.VIOLATION, "second_execution"] == 1
