--- a/sumacpost/server/__init__.py
+++ b/sumacpost/server/__init__.py
@@ -1,1 +1,1 @@
-"""The client side: connections, requests and responses."""
+"""The client side of the ingress: connections, requests and responses."""
--- a/sumacpost/server/close_reason.py
+++ b/sumacpost/server/close_reason.py
@@ -1,4 +1,4 @@
-"""Why a client's connection has ended."""
+"""Reasons for which a client connection ends."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class CloseReason(Enum):
-    """Why a client's connection has ended; the values are for the log."""
+    """Why a client connection has ended; the values appear in the log."""
 
-    CLIENT_LEFT = "client_left"  # or the path to it broke
-    RESPONSE_WAS_LAST = "response_was_last"  # it said Connection: close
-    INVALID_INPUT = "invalid_input"  # where the next request begins can't be told
-    REQUEST_TIMEOUT = "request_timeout"  # no complete request came in its time
-    IDLE = "idle"
-    EVICTED = "evicted"  # its place was needed
-    LINGER_TIMEOUT = "linger_timeout"  # the client has not closed after the last response
-    DRAIN_IDLE = "drain_idle"
-    DRAIN_NO_REQUEST = "drain_no_request"  # no complete request came in a drain
-    DRAIN_DEADLINE = "drain_deadline"  # the process is about to end
+    CLIENT_LEFT = "client_left"  # the client disconnected, or the network path failed
+    RESPONSE_WAS_LAST = "response_was_last"  # the last response had Connection: close
+    INVALID_INPUT = "invalid_input"  # the start of the next request can't be determined
+    REQUEST_TIMEOUT = "request_timeout"  # no complete request arrived within the time limit
+    IDLE = "idle"  # no request for too long after the last response
+    EVICTED = "evicted"  # closed to make room for another connection
+    LINGER_TIMEOUT = "linger_timeout"  # the client did not close after the last response
+    DRAIN_IDLE = "drain_idle"  # idle during a drain
+    DRAIN_NO_REQUEST = "drain_no_request"  # no complete request arrived during a drain
+    DRAIN_DEADLINE = "drain_deadline"  # the process is about to exit
--- a/sumacpost/server/connection.py
+++ b/sumacpost/server/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: its input, its responses in the order of their requests, and its end."""
+"""One client connection: reads requests, writes responses in request order, and ends."""
 
 from __future__ import annotations
 
@@ -26,23 +26,24 @@
 from sumacpost.server.response import PendingResponse
 from sumacpost.server.socket_state import has_unread_input, peer_has_disconnected
 
-# Responses pending on one connection, before further input is buffered unread.
+# With this many responses pending on a connection, further input is buffered without being parsed.
 MAX_PIPELINED = 8
-# Input buffered so, which is one more request of any size; beyond it the connection ends.
+# Limit of the input that is buffered without being parsed: one more request of any permitted size.
+# If the input exceeds the limit, the connection ends.
 MAX_BUFFERED_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES
 
 
 class ConnectionState(Enum):
-    """Whether a connection still takes requests."""
+    """Whether a connection still accepts requests."""
 
     READING = auto()
-    FINISHING = auto()  # nothing more is taken from the socket; what has been read is answered
-    CLOSING = auto()  # input is discarded; the connection ends after the pending responses
+    FINISHING = auto()  # the socket is not read any more; requests already read are answered
+    CLOSING = auto()  # further input is discarded; the connection ends after pending responses
 
 
-# Why a connection may end with responses owed: there is nobody to read them.
+# Close reasons that permit unsent responses, as no client is left that would read them.
 _REASONS_WITHOUT_READER = frozenset((CloseReason.CLIENT_LEFT, CloseReason.INVALID_INPUT))
-# Up to Python 3.11 each access to a member through its class costs a call.
+# Enum members as module constants: up to Python 3.11, each access through the class costs a call.
 _READING = ConnectionState.READING
 _FINISHING = ConnectionState.FINISHING
 _CLOSING = ConnectionState.CLOSING
@@ -50,14 +51,14 @@
 
 @dataclass(slots=True)
 class ReceivedData:
-    """Bytes that were received together."""
+    """The bytes of one read from the socket."""
 
     received_at: float  # monotonic seconds
     data: bytes
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection of a client; requests may come in pieces, pipelined, or chunked."""
+    """A client connection; requests may arrive in pieces, pipelined, or chunked."""
 
     def __init__(
         self,
@@ -66,35 +67,40 @@
         handler: RequestHandler,
         unread_age_s: float = 0.0,
     ) -> None:
-        """Take a socket whose first bytes have stood in it for so long."""
+        """Create the connection of an accepted socket.
+
+        unread_age_s: how long the first input has already been waiting in the socket, in seconds.
+        """
         self._sock = sock
         self._registry = registry
         self._handler = handler
         self._reader = RequestReader(self._on_request)
         self._state = _READING
-        self._close_reason = CloseReason.CLIENT_LEFT  # until the ingress closes it itself
+        self._close_reason = CloseReason.CLIENT_LEFT  # until the ingress closes the connection
         self._finish_reason = CloseReason.DRAIN_DEADLINE
         self._pending_responses: deque[PendingResponse] = deque()
         self._buffered_input: deque[ReceivedData] = deque()
         self._buffered_bytes = 0
-        self._buffer_overflowed = False  # unread input has gone beyond its bound
+        self._buffer_overflowed = False  # the buffered input has exceeded MAX_BUFFERED_BYTES
         self._unread_age_s = unread_age_s
-        self._received_at = 0.0  # monotonic seconds: when the bytes being parsed were received
+        self._received_at = 0.0  # when the bytes being parsed were received, in monotonic seconds
         self._parsing = False
-        self._writing_paused = False  # the client does not take its responses
+        self._writing_paused = False  # the client does not read its responses fast enough
         self._transport: asyncio.Transport
 
-    # ---- callbacks of the event loop
+    # ---- event loop callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's does not inherit from it
+        """Store the transport and register the connection."""
+        # A cast, because uvloop's transport does not inherit from asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         self._registry.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         """Buffer the input, and parse as much of it as the pending responses allow.
 
-        Reading from the socket is never paused: only its end tells that the client has left.
+        Reading from the socket is not paused while responses are pending: the event loop detects a
+        disconnected client only by reading to the end of the input.
         """
         if self._state is _CLOSING:
             return
@@ -108,16 +114,16 @@
             self._reject(429)
 
     def pause_writing(self) -> None:
-        """Write and parse no more, as the client does not take its responses."""
+        """Stop parsing, because the client does not read its responses."""
         self._writing_paused = True
 
     def resume_writing(self) -> None:
-        """Go on, as the client takes its responses again."""
+        """Resume parsing, because the client reads its responses again."""
         self._writing_paused = False
         self.advance()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Cancel the requests whose responses are still pending."""
+        """Cancel the requests whose responses are pending, and record the end of the connection."""
         self._discard_input()
         self._registry.connection_closed(self)
         unsent = self._pending_responses
@@ -144,9 +150,9 @@
     # ---- requests and responses
 
     def advance(self) -> None:
-        """Write the responses that are due, and parse on as far as those still pending allow."""
+        """Write the responses that are due, and parse as much input as pending responses allow."""
         if self._parsing:
-            return  # responses that are ready at once go out when the bytes have been parsed
+            return  # responses that are ready immediately are written after parsing
         wrote = self._write_due_responses()
         while (
             self._buffered_input
@@ -161,11 +167,11 @@
         self._update_registry(wrote)
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has gone, even if the loop has not learnt that yet."""
+        """Return whether the client has disconnected, even if the loop has not detected it yet."""
         return peer_has_disconnected(self._sock)
 
     def close_obstacle(self) -> CloseObstacle | None:
-        """Return why the connection may not simply be closed now, if anything."""
+        """Return why the connection may not be closed now, or None if it may."""
         return close_obstacle(
             ConnectionSnapshot(
                 responses_owed=len(self._pending_responses),
@@ -192,7 +198,7 @@
             self._parsing = False
 
     def _on_request(self, message: RequestMessage) -> None:
-        """Handle a complete request; called by the reader."""
+        """Pass a complete request to the handler; called by the reader."""
         if self._state is _CLOSING:
             return
         if self.has_disconnected():
@@ -205,7 +211,10 @@
         self._handler.handle(message, response)
 
     def _reject(self, status: int) -> None:
-        """Answer input that is no request; where the next would begin can't be told."""
+        """Send an error for input that can't be handled; the connection ends with it.
+
+        No later request can be read, as the position of its first byte is unknown.
+        """
         if self._state is _CLOSING:
             return
         response = PendingResponse(self, keep_alive=False, received_at=self._received_at)
@@ -214,7 +223,7 @@
         response.send(status)
 
     def _write_due_responses(self) -> bool:
-        """Write the responses that are due, in the order of their requests; return if any was."""
+        """Write the responses that are due in request order; return whether any was written."""
         wrote = False
         while self._pending_responses:
             response = self._pending_responses[0]
@@ -236,12 +245,12 @@
         head += b"\r\nConnection: close\r\n\r\n" if is_last else b"\r\n\r\n"
         if len(body) > MAX_BODY_BYTES:
             self._transport.write(head)
-            self._transport.write(body)  # not copied, as it may be large
+            self._transport.write(body)  # written separately: joining would copy a large body
         else:
             self._transport.write(head + body)
 
     def _update_registry(self, wrote: bool) -> None:
-        """Tell the registry what the connection waits for now."""
+        """Report to the registry what the connection is waiting for now."""
         if self._pending_responses:
             self._registry.mark_busy(self)
         elif self._state is _CLOSING:
@@ -252,10 +261,10 @@
         elif wrote:
             self._registry.mark_idle(self)
 
-    # ---- ways to end
+    # ---- ending the connection
 
     def on_request_timeout(self, reason: CloseReason) -> None:
-        """Answer a request that has not come whole in its time, or end a silent connection."""
+        """Reject an incomplete request with status 408, or close a connection without one."""
         if self._reader.has_partial_message and self._state is not _CLOSING:
             self._close_reason = reason
             self._reject(408)
@@ -263,7 +272,7 @@
             self.close(reason)
 
     def finish(self, reason: CloseReason) -> None:
-        """Read no more from the socket, answer what has been read, and close then."""
+        """Stop reading from the socket, answer the requests already read, then close."""
         if self._state is not _READING or self._transport.is_closing():
             return
         self._state = _FINISHING
@@ -272,7 +281,7 @@
         self.advance()
 
     def _end_after_input(self, reason: CloseReason) -> None:
-        """End a connection that owes no response: reject what is left of a request."""
+        """End a connection without pending responses; reject an incomplete request."""
         if self._reader.has_partial_message:
             self.on_request_timeout(reason)
         else:
@@ -280,13 +289,16 @@
             self._end_after_last_response()
 
     def close(self, reason: CloseReason) -> None:
-        """Close the connection between requests, once its last response is written."""
+        """Close the connection between requests; output already written is still sent."""
         self._close_reason = reason
         self._state = _CLOSING
         self._close_transport()
 
     def evict(self) -> None:
-        """Close at once, as the place is needed: a client that reads nothing would keep it."""
+        """Close immediately, to make room for another connection.
+
+        Unsent output is discarded, as a client that reads nothing would keep the connection open.
+        """
         self._close_reason = CloseReason.EVICTED
         self._state = _CLOSING
         if self._transport.get_write_buffer_size():
@@ -295,7 +307,11 @@
             self._transport.close()
 
     def abort(self, reason: CloseReason | None = None) -> None:
-        """Close at once: the client has left, or never reads its response or ends its request."""
+        """Close immediately, and discard pending requests and unsent output.
+
+        For clients that have disconnected, that never read their response or never complete their
+        request, and for connections whose normal end has failed.
+        """
         if reason is not None:
             self._close_reason = reason
         self._state = _CLOSING
@@ -309,8 +325,9 @@
     def _end_after_last_response(self) -> None:
         """End the connection after its last response.
 
-        Where more input may come, the socket is read on for a while: closing it with unread bytes
-        would reset the connection, and the response could be lost with it.
+        If more input may follow, only the sending direction is closed, and input is read and
+        discarded until the client closes or LINGER_TIMEOUT_S has elapsed: closing a socket with
+        unread bytes would reset the connection, and the response could be lost.
         """
         if self._close_reason is CloseReason.CLIENT_LEFT:
             self._close_reason = CloseReason.RESPONSE_WAS_LAST
@@ -323,10 +340,11 @@
             self._close_transport()
 
     def _close_transport(self) -> None:
-        """Close the connection; in a drain end the sending alone, until the client has closed.
+        """Close the connection; in a drain, close only its sending direction.
 
-        A client that has sent more by then would get a reset, and could lose a response that it has
-        not read. What it has sent stays unread: it is told so that it was not taken.
+        During a drain the socket stays open until the client closes it: if the client has sent more
+        input, closing would reset the connection, and a response that the client has not read yet
+        could be lost. That input stays unread, so the client can see that it was not processed.
         """
         if self._transport.is_closing():
             return
--- a/sumacpost/server/connection_protocols.py
+++ b/sumacpost/server/connection_protocols.py
@@ -1,4 +1,4 @@
-"""What the registry and a pending response need of a client's connection."""
+"""The interfaces of a client connection that the registry and a pending response use."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 
 
 class RegisteredConnection(Protocol):
-    """A connection as the registry knows it: what may be asked of it, and how it can be ended."""
+    """A connection as the registry uses it: queries of its state, and ways to end it."""
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has gone, even if the loop has not learnt that yet."""
+        """Return whether the client has disconnected, even if the loop has not detected it yet."""
 
     def close_obstacle(self) -> CloseObstacle | None:
-        """Return why the connection may not simply be closed now, if anything."""
+        """Return why the connection may not be closed now, or None if it may."""
 
     def on_request_timeout(self, reason: CloseReason) -> None:
-        """Answer a request that has not come whole in its time, or end a silent connection."""
+        """Reject a request that is not complete in time, or close a connection without input."""
 
     def finish(self, reason: CloseReason) -> None:
-        """Read no more from the socket, answer what has been read, and close then."""
+        """Stop reading from the socket, answer the requests already read, then close."""
 
     def close(self, reason: CloseReason) -> None:
-        """Close the connection between requests, once its last response is written."""
+        """Close the connection between requests; output already written is still sent."""
 
     def evict(self) -> None:
-        """Close at once, as the place is needed."""
+        """Close immediately, to make room for another connection."""
 
     def abort(self, reason: CloseReason | None = None) -> None:
-        """Close at once, whatever is pending."""
+        """Close immediately, and discard pending requests and unsent output."""
 
 
 ConnectionType = TypeVar("ConnectionType", bound=RegisteredConnection)
 
 
 class ResponseOwner(Protocol):
-    """A connection as a pending response knows it."""
+    """A connection as a pending response uses it."""
 
     def advance(self) -> None:
-        """Write the responses that are due."""
+        """Write the responses that are due, and parse further buffered input."""
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has gone, even if the loop has not learnt that yet."""
+        """Return whether the client has disconnected, even if the loop has not detected it yet."""
--- a/sumacpost/server/connection_queue.py
+++ b/sumacpost/server/connection_queue.py
@@ -11,7 +11,7 @@
 
 
 class ConnectionQueue(Generic[ConnectionType]):
-    """A queue of connections, each added, found and removed in constant time."""
+    """A queue of connections that adds, finds and removes a connection in constant time."""
 
     def __init__(self) -> None:
         self._added_at: dict[ConnectionType, float] = {}  # monotonic seconds; oldest first
@@ -26,8 +26,9 @@
         return connection in self._added_at
 
     def add(self, connection: ConnectionType) -> None:
-        """Append the connection; one that is in the queue already moves to its end."""
-        self._added_at.pop(connection, None)  # a dict keeps the place of a key that is set again
+        """Append the connection; a connection already in the queue moves to the end."""
+        # Without the removal, setting an existing key would keep its position in the dict.
+        self._added_at.pop(connection, None)
         self._added_at[connection] = time.monotonic()
 
     def discard(self, connection: ConnectionType) -> None:
@@ -35,11 +36,17 @@
         self._added_at.pop(connection, None)
 
     def added_before(self, connection: ConnectionType, before: float) -> bool:
-        """Return whether a connection in the queue was added before that time."""
+        """Return whether a connection in the queue was added before a time.
+
+        Raise KeyError if the connection is not in the queue. before: in monotonic seconds.
+        """
         return self._added_at[connection] < before
 
     def oldest(self, before: float = inf) -> ConnectionType | None:
-        """Return the connection added first, or None if none was added before that time."""
+        """Return the connection added first, or None if none was added before a time.
+
+        before: in monotonic seconds.
+        """
         for connection, added_at in self._added_at.items():
             return connection if added_at < before else None
         return None
--- a/sumacpost/server/connection_registry.py
+++ b/sumacpost/server/connection_registry.py
@@ -1,4 +1,4 @@
-"""All client connections: the bounds on their number, and the time-outs of those at rest."""
+"""All client connections: limits on their number, and time-outs of those without a request."""
 
 from __future__ import annotations
 
@@ -14,49 +14,55 @@
 from sumacpost.server.connection_protocols import ConnectionType
 from sumacpost.server.connection_queue import ConnectionQueue
 
-# For a message, from its first byte on; for the first one, from the connection's start on.
+# Time limit for a complete request: from its first byte, or from the start of the connection for
+# the first request.
 REQUEST_TIMEOUT_S = 2.0
-# For a connection between requests.
+# Time limit for a connection between requests.
 IDLE_TIMEOUT_S = 10.0
-# After the last response, while input is discarded so that the client can read that response.
+# Time limit after the last response. Meanwhile input is discarded, so that the client can read the
+# response.
 LINGER_TIMEOUT_S = 1.0
-# A connection younger than this may be about to bring its first request.
+# The first request of a connection younger than this may still be on its way.
 NEW_CONNECTION_GRACE_S = 0.05
-# At most one connection in this many may be idle.
+# The limit on all connections divided by this is the limit on idle connections.
 IDLE_DIVISOR = 4
-# With more than one connection in this many waiting for a request, new ones have no grace.
+# If the waiting connections exceed the limit on all connections divided by this, new connections
+# get no grace period.
 WAITING_DIVISOR = 4
 
-# Connections of a queue that are examined for one to evict.
+# How many connections of a queue are examined for one to evict.
 MAX_EVICTION_EXAMINED = 8
-# Their place is given to another: at rest, or with a request that has not come whole.
+# A connection may be evicted if it has no request at all, or only an incomplete one.
 _EVICTABLE_OBSTACLES = frozenset((None, CloseObstacle.REQUEST_INCOMPLETE))
 
 log = logging.getLogger(__name__)
 
 
 class ConnectionRegistry(Generic[ConnectionType]):
-    """The open client connections; each without a pending response is in one of the queues.
-
-    waiting: no complete request has come yet, or the next has begun.
-    idle: between requests.
-    closing: the last response is sent, and input is discarded.
+    """The open client connections; each one without a pending response is in one of the queues.
+
+    Attributes:
+        open: all connections that have a transport, oldest first.
+        waiting: connections without a complete request so far, or with an incomplete next one.
+        idle: connections between requests.
+        closing: connections that have sent their last response; their input is discarded.
+        on_capacity_available: called when a connection ends or may be evicted, so that another can
+            be accepted.
     """
 
     def __init__(self, max_connections: int) -> None:
         self._max_connections = max_connections
         self._max_idle = max(1, max_connections // IDLE_DIVISOR)
-        self._opening = 0  # accepted, and without a transport yet
+        self._opening = 0  # accepted connections that do not have a transport yet
         self.open: dict[ConnectionType, None] = {}
         self.waiting: ConnectionQueue[ConnectionType] = ConnectionQueue()
         self.idle: ConnectionQueue[ConnectionType] = ConnectionQueue()
         self.closing: ConnectionQueue[ConnectionType] = ConnectionQueue()
-        # Called when a connection ends or may be evicted, so that another can be accepted.
         self.on_capacity_available: Callable[[], None] = lambda: None
 
     @property
     def is_full(self) -> bool:
-        """Whether another connection would go beyond the bound."""
+        """Whether another connection would exceed the limit."""
         return len(self.open) + self._opening >= self._max_connections
 
     @property
@@ -64,51 +70,52 @@
         """Whether all connections have ended."""
         return not self._opening and not self.open
 
-    # ---- the life of a connection
+    # ---- opening and closing
 
     def connection_accepted(self) -> None:
-        """Count a connection that is about to open."""
+        """Count an accepted connection whose transport is being created."""
         self._opening += 1
 
     def connection_failed(self) -> None:
-        """Count one no more that was accepted and could not be opened."""
+        """Stop counting an accepted connection whose transport could not be created."""
         self._opening -= 1
         self.on_capacity_available()
 
     def connection_opened(self, connection: ConnectionType) -> None:
-        """Take in a connection that has its transport."""
+        """Register a connection whose transport has been created."""
         self._opening -= 1
         self.open[connection] = None
         self.waiting.add(connection)
-        self.on_capacity_available()  # only now can it be evicted
+        self.on_capacity_available()  # from now on the connection can be evicted
 
     def connection_closed(self, connection: ConnectionType) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self.open.pop(connection, None)
         self.closing.discard(connection)
         self.waiting.discard(connection)
         self.idle.discard(connection)
         self.on_capacity_available()
 
-    # ---- what a connection waits for
+    # ---- states of open connections
 
     def mark_busy(self, connection: ConnectionType) -> None:
-        """Note that responses are pending: the connection neither times out nor can be evicted."""
+        """Record that responses are pending: the connection can't time out or be evicted."""
         self.waiting.discard(connection)
         self.idle.discard(connection)
 
     def mark_waiting(self, connection: ConnectionType) -> None:
-        """Note that a request has begun: it has REQUEST_TIMEOUT_S from now on to come."""
+        """Record that a request has begun; it has to be complete within REQUEST_TIMEOUT_S."""
         self.idle.discard(connection)
         self.waiting.add(connection)
 
     def mark_idle(self, connection: ConnectionType) -> None:
-        """Note that all responses are sent; close the connection longest idle if too many are.
+        """Record that all responses are sent; close the longest-idle connection if too many are.
 
-        The bound guards against clients that send one request and keep their connection: idle
-        connections could otherwise fill the bound on all of them. A connection that is used again
-        and again stays, as it is never the longest idle. It could hurt a crowd of clients that
-        each come back seldom, as they then need a new connection for each request.
+        The limit on idle connections protects against clients that send one request and keep their
+        connection open: idle connections could otherwise use up the limit on all connections. A
+        connection in regular use stays open, as it is never the longest idle. The limit may harm
+        clients if there are many that each send requests rarely: they then need a new connection
+        for each request.
         """
         self.waiting.discard(connection)
         self.idle.add(connection)
@@ -117,7 +124,7 @@
             self._close_idle_connection(longest_idle, CloseReason.EVICTED)
 
     def mark_closing(self, connection: ConnectionType) -> None:
-        """Note that the last response is sent: the connection has LINGER_TIMEOUT_S to end."""
+        """Record that the last response is sent; the connection ends within LINGER_TIMEOUT_S."""
         self.waiting.discard(connection)
         self.idle.discard(connection)
         self.closing.add(connection)
@@ -125,11 +132,12 @@
     # ---- eviction and time-outs
 
     def eviction_candidate(self) -> ConnectionType | None:
-        """Return the connection that is missed least, or None if all have pending responses.
+        """Return the connection whose loss costs least, or None if all have pending responses.
 
-        First those that have sent their last response, then those that have brought no request,
-        then idle ones. A new connection has had no time to send its request, so it comes last
-        unless there are many that wait.
+        Connections that have sent their last response come first, then connections without a
+        complete request, then idle ones. A connection in whose socket a complete request may be
+        waiting comes after these, and so does a new one, which has had no time to send its request;
+        new connections are not spared if many connections are waiting for a request.
         """
         many_waiting = len(self.waiting) > self._max_connections // WAITING_DIVISOR
         opened_before = inf if many_waiting else time.monotonic() - NEW_CONNECTION_GRACE_S
@@ -142,60 +150,62 @@
         )
 
     def evict(self, connection: ConnectionType) -> None:
-        """Close the connection now and forget it."""
+        """Close the connection immediately and remove it."""
         self.connection_closed(connection)
         connection.evict()
 
     def enforce_timeouts(self) -> None:
-        """End the requests and connections whose time is over."""
+        """End the requests and connections whose time limit has passed."""
         now = time.monotonic()
         self.close_waiting(now - REQUEST_TIMEOUT_S, CloseReason.REQUEST_TIMEOUT)
         self.close_idle(now - IDLE_TIMEOUT_S, CloseReason.IDLE)
-        while (late := self.closing.oldest(now - LINGER_TIMEOUT_S)) is not None:
-            self.closing.discard(late)
-            late.abort(CloseReason.LINGER_TIMEOUT)
+        while (expired := self.closing.oldest(now - LINGER_TIMEOUT_S)) is not None:
+            self.closing.discard(expired)
+            expired.abort(CloseReason.LINGER_TIMEOUT)
 
     def close_idle(self, before: float, reason: CloseReason) -> None:
-        """Close the connections that have been idle since before that time.
+        """Close the connections that have been idle since before a time, in monotonic seconds.
 
-        One whose next request has come, though the loop has not read it, is not idle: its client
-        would have to send that again, on a connection that it may not get.
+        A connection with input that the event loop has not read yet is kept: its client would have
+        to send the request again, on a new connection that may not be available.
         """
-        while (late := self.idle.oldest(before)) is not None:
-            if late.close_obstacle() is None:
-                self._close_idle_connection(late, reason)
+        while (expired := self.idle.oldest(before)) is not None:
+            if expired.close_obstacle() is None:
+                self._close_idle_connection(expired, reason)
             else:
-                self.idle.add(late)
+                self.idle.add(expired)
 
     def close_disconnected(self) -> None:
-        """Close the connections whose clients have closed them after their last response.
+        """Abort the closing connections whose clients have disconnected after the last response.
 
-        In a drain nothing is read from these, so the event loop does not see it.
+        During a drain these sockets are not read, so the event loop does not detect the disconnect.
         """
         for connection in list(self.closing):
             if connection.has_disconnected():
                 connection.abort()
 
     def close_waiting(self, before: float, reason: CloseReason) -> None:
-        """End the connections that have waited for a request since before that time.
+        """End the connections that have waited for a request since before a time.
+
+        A connection with input that the event loop has not read yet gets more time.
 
-        One whose first request has come, though the loop has not read it, is given time for it.
+        before: in monotonic seconds.
         """
-        while (late := self.waiting.oldest(before)) is not None:
-            if late.close_obstacle() is CloseObstacle.REQUEST_UNREAD:
-                self.waiting.add(late)
+        while (expired := self.waiting.oldest(before)) is not None:
+            if expired.close_obstacle() is CloseObstacle.REQUEST_UNREAD:
+                self.waiting.add(expired)
                 continue
-            self.waiting.discard(late)
-            self.closing.add(late)
-            late.on_request_timeout(reason)
+            self.waiting.discard(expired)
+            self.closing.add(expired)
+            expired.on_request_timeout(reason)
 
     def close_all(self, reason: CloseReason) -> None:
-        """Read no more requests on any connection, and end each as its state allows."""
+        """Stop reading requests on all connections, and end each one as its state permits."""
         for connection in list(self.open):
             try:
                 connection.finish(reason)
             except Exception:
-                # the others are to end as they should
+                # A failure on one connection must not keep the others from ending properly.
                 log.exception("connection not ended: aborting")
                 connection.abort(reason)
 
@@ -208,7 +218,11 @@
 def _first_evictable(
     queue: ConnectionQueue[ConnectionType], before: float = inf
 ) -> ConnectionType | None:
-    """Return the first of the oldest connections of a queue on which no whole request may stand."""
+    """Return the oldest connection without a complete request, or None if none is found.
+
+    Only the MAX_EVICTION_EXAMINED oldest connections are examined, and of these only those added
+    before the time `before`, in monotonic seconds.
+    """
     for connection in islice(queue, MAX_EVICTION_EXAMINED):
         if not queue.added_before(connection, before):
             return None
--- a/sumacpost/server/drain.py
+++ b/sumacpost/server/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of the clients' side: accept what still comes, answer it, close in time."""
+"""Graceful shutdown of the client side: accept late connections, answer requests, close in time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from sumacpost.server.connection_registry import ConnectionRegistry
 from sumacpost.server.listener import LISTEN_BACKLOG, Listener
 
-DRAIN_POLL_INTERVAL_S = 0.02  # between two looks at the connections
+DRAIN_POLL_INTERVAL_S = 0.02  # between two checks of the connections
 
 
 @dataclass
@@ -21,11 +21,11 @@
     """One shutdown in progress.
 
     Attributes:
-        listener: accepts connections for a while yet.
-        registry: the connections.
-        schedule: when what is due.
-        started_at: when SIGTERM was seen, in monotonic seconds.
-        recorder: is told of each phase.
+        listener: the listening socket; accepts connections during the first phase.
+        registry: all client connections.
+        schedule: the times of the steps.
+        started_at: when the drain began on SIGTERM, in monotonic seconds.
+        recorder: records the start of each phase.
     """
 
     listener: Listener
@@ -35,7 +35,7 @@
     recorder: EventRecorder
 
     async def run(self) -> None:
-        """Return when all connections have ended, or when the process has to end."""
+        """Run the shutdown; return when all connections have ended or the process has to exit."""
         self._record_phase("accepting")
         self.registry.close_idle(self.started_at, CloseReason.DRAIN_IDLE)
         await self._accept_until_quiet()
@@ -48,6 +48,11 @@
         self._record_phase("connections_ended")
 
     async def _accept_until_quiet(self) -> None:
+        """Wait until no more connections are expected and the kernel's queue is empty.
+
+        If the queue can't be emptied, for example at the connection limit, return when all
+        responses are due.
+        """
         schedule = self.schedule
         while True:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
@@ -61,7 +66,7 @@
                 return
 
     async def _serve_until_closed(self) -> None:
-        """Serve the connections there are, until all have ended or none may be read any more."""
+        """Serve the open connections until all have ended or no more requests may be read."""
         schedule = self.schedule
         while not self.registry.is_empty and self._elapsed_ms() < schedule.respond_within_ms:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
@@ -74,10 +79,11 @@
             self.registry.close_disconnected()
 
     async def _wait_until_closed(self) -> None:
-        """Wait for connections whose clients still read their last response."""
+        """Wait for connections whose clients are still reading their last response."""
         while not self.registry.is_empty and self._elapsed_ms() < self.schedule.end_within_ms:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
-            self.registry.close_all(CloseReason.DRAIN_DEADLINE)  # also those opened meanwhile
+            # Repeated for connections that have opened since the last call.
+            self.registry.close_all(CloseReason.DRAIN_DEADLINE)
             self.registry.enforce_timeouts()
             self.registry.close_disconnected()
 
--- a/sumacpost/server/listener.py
+++ b/sumacpost/server/listener.py
@@ -1,4 +1,4 @@
-"""Accepting client connections, within the bound that their registry keeps."""
+"""Accepts client connections, up to the limit of the connection registry."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 
 log = logging.getLogger(__name__)
 
-# Connections that the kernel keeps until they are accepted.
+# How many connections the kernel queues until they are accepted.
 LISTEN_BACKLOG = 1024
-# Connections accepted in one turn of the loop, before those that are open are read.
+# How many connections are accepted in one iteration of the event loop, so that open connections are
+# read in between.
 MAX_ACCEPTS_PER_TURN = 16
-# After an error, such as too few descriptors or too little memory.
+# How long accepting is paused after an error, such as a lack of file descriptors or memory.
 ACCEPT_RETRY_DELAY_S = 0.05
 
 
 class Listener:
-    """A listening socket whose accepting can be paused.
+    """A listening socket on which accepting can be paused.
 
-    The loop's own server can't pause: it would accept connections beyond the bound on sockets.
+    The server of the event loop can't be paused: it would accept connections beyond the socket
+    limit.
     """
 
     def __init__(
@@ -37,16 +39,21 @@
         self._registry = registry
         self._new_connection = new_connection
         self._loop = asyncio.get_running_loop()
-        self._opening_tasks: set[asyncio.Task[None]] = set()  # the loop holds tasks only weakly
+        # Strong references, as the event loop keeps only weak references to tasks.
+        self._opening_tasks: set[asyncio.Task[None]] = set()
         self._socket: socket.socket
         self.accepting = False
         self.last_accept_at = 0.0  # monotonic seconds
-        # since when connections may have stood in the kernel's queue; None: it has been emptied
+        # The time from which connections may have been waiting in the kernel's queue, in monotonic
+        # seconds; None after the queue has been emptied.
         self._backlog_since: float | None = None
         registry.on_capacity_available = self.resume
 
     def open(self, address: Address) -> Address:
-        """Start accepting; return the address, with the port that the system chose for port 0."""
+        """Start accepting; return the address, with the port chosen by the system for port 0.
+
+        Raise OSError if the address can't be bound.
+        """
         self._socket = socket.create_server(address, backlog=LISTEN_BACKLOG)
         self._socket.setblocking(False)
         self.resume()
@@ -54,12 +61,12 @@
         return host, port
 
     def close(self) -> None:
-        """Stop accepting; the kernel resets the connections that were not accepted."""
+        """Stop accepting; the kernel resets the connections that have not been accepted."""
         self.pause()
         self._socket.close()
 
     def resume(self) -> None:
-        """Accept connections as they come, unless the listener is closed."""
+        """Accept connections as they arrive, unless the listener is closed."""
         if not self.accepting and self._socket.fileno() >= 0:
             self.accepting = True
             self._loop.add_reader(self._socket.fileno(), self.accept)
@@ -72,7 +79,7 @@
             self._loop.remove_reader(self._socket.fileno())
 
     def accept(self, limit: int = MAX_ACCEPTS_PER_TURN) -> bool:
-        """Accept up to so many connections; return whether the kernel's queue is empty."""
+        """Accept at most `limit` connections; return whether the kernel's queue is empty."""
         for _ in range(limit):
             evictable = None
             if self._registry.is_full:
@@ -86,7 +93,7 @@
                 self._backlog_since = None
                 return True
             except (InterruptedError, ConnectionAbortedError):
-                continue  # that client has left; others may stand behind it
+                continue  # this client has disconnected; more connections may be queued
             except OSError as error:
                 self._pause_after(error)
                 return False
--- a/sumacpost/server/request.py
+++ b/sumacpost/server/request.py
@@ -1,4 +1,4 @@
-"""What a client's request means, and the form in which it is forwarded to a backend."""
+"""Validates a client's request and encodes it for a backend."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from sumacpost.model import Idempotency, RequestArrived, Settings
 from sumacpost.server.request_reader import RequestMessage
 
-MAX_ACCOUNT = (1 << 33) - 1
+MAX_ACCOUNT = (1 << 33) - 1  # largest customer number in an Account header
 MIN_FORWARDED_TIMEOUT_MS = 1.0
 
 _REQUEST_ID = re.compile(rb"[\x21-\x7e]{1,128}")
@@ -18,7 +18,7 @@
 _SECONDS = re.compile(rb"\d{1,6}(\.\d{1,9})?")
 _QUOTA_INFO = re.compile(rb"units=(\d{1,6}(?:\.\d{1,9})?),spread=(\d{1,6}),first=(\d{1,6})")
 
-# Headers that the ingress itself reads.
+# Headers that the ingress itself interprets; each may occur only once.
 _INGRESS_HEADERS = frozenset(
     (
         b"request-id",
@@ -30,7 +30,7 @@
         b"idempotency-key",
     )
 )
-# Headers that concern one connection only, and those that the ingress writes itself.
+# Headers that apply to a single connection, and headers that the ingress writes itself.
 _NOT_FORWARDED = frozenset(
     (
         b"connection",
@@ -48,7 +48,15 @@
 
 
 class Request:
-    """A client's request that is complete and valid."""
+    """A complete and valid request of a client.
+
+    Attributes:
+        id: the value of the Request-Id header.
+        body: the decoded body.
+        arrival: the event for the gateway; the ingress sets the request's number and the time left.
+        retryable: whether another attempt may follow one that the backend may have executed.
+        timeout_ms: the timeout that the client has set, in ms.
+    """
 
     __slots__ = ("_head", "arrival", "body", "id", "retryable", "timeout_ms")
 
@@ -58,12 +66,15 @@
         self.id = id
         self._head = head
         self.body = body
-        self.arrival = arrival  # the ingress fills in the request's number and the time left
-        self.retryable = retryable  # an attempt may follow one that was possibly executed
+        self.arrival = arrival
+        self.retryable = retryable
         self.timeout_ms = arrival.time_left_ms
 
     def encode(self, time_left_ms: float) -> bytes:
-        """Return the request for a backend, which has this time to respond."""
+        """Encode the request for a backend that has `time_left_ms` to respond.
+
+        At least MIN_FORWARDED_TIMEOUT_MS is written as its Request-Timeout.
+        """
         return b"%bRequest-Timeout: %.3f\r\n\r\n%b" % (
             self._head,
             max(time_left_ms, MIN_FORWARDED_TIMEOUT_MS) / 1000,
@@ -73,14 +84,14 @@
 
 @dataclass(slots=True)
 class _ClassEntry:
-    """A class of requests: its place in the settings, and what repeating a request would do."""
+    """The index of a request class in the settings, and the idempotency of its requests."""
 
     index: int
     idempotency: Idempotency
 
 
 class RequestParser:
-    """Checks complete requests against the settings."""
+    """Validates complete requests against the settings."""
 
     def __init__(self, settings: Settings) -> None:
         self._classes = {
@@ -92,10 +103,11 @@
         self._max_units = settings.max_units
 
     def parse(self, message: RequestMessage) -> Request:
-        """Return the request.
+        """Return the valid request in the message.
 
-        Raise RequestError, with status 404 for an unknown class and 400 for anything else that is
-        missing or malformed. Of several faults the first in the order of the checks is reported.
+        Raise RequestError with status 404 if the request class is unknown, and with status 400 if
+        anything else is missing or malformed. If there are several errors, the first one in the
+        order of the checks is reported.
         """
         headers = _unique_headers(message.headers)
         request_class = self._find_class(message.target)
@@ -111,7 +123,10 @@
         )
 
     def _find_class(self, target: bytes) -> _ClassEntry:
-        """Return the class that the first segment of the path names."""
+        """Return the request class named by the first path segment.
+
+        Raise RequestError if there is no such class.
+        """
         path = target.partition(b"?")[0]
         segment_end = path.find(b"/", 1)
         name = path if segment_end < 0 else path[:segment_end]
@@ -142,7 +157,10 @@
         return arrival
 
     def _check_ranges(self, arrival: RequestArrived) -> None:
-        """Guard what the gateway learns of customers and work from impossible figures."""
+        """Raise RequestError for impossible values.
+
+        They would distort the gateway's data about customers and units.
+        """
         if arrival.customer > MAX_ACCOUNT:
             raise RequestError(400, "account out of range")
         if not (
@@ -155,7 +173,10 @@
 
 
 def _unique_headers(headers: Sequence[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
-    """Return the headers by name; none of those that are read may come twice."""
+    """Return the headers by name.
+
+    Raise RequestError if a header that the ingress interprets occurs more than once.
+    """
     by_name = dict(headers)
     if len(by_name) < len(headers):
         names = [name for name, _ in headers]
@@ -168,7 +189,7 @@
 def _check_class_rules(
     idempotency: Idempotency, message: RequestMessage, headers: Mapping[bytes, bytes]
 ) -> None:
-    """Check what the request's class lays down for method, idempotency key and body."""
+    """Raise RequestError if method, idempotency key or body do not match the request class."""
     idempotent = idempotency is Idempotency.IDEMPOTENT
     if message.method != (b"GET" if idempotent else b"POST"):
         raise RequestError(400, "the method does not fit the class")
@@ -182,7 +203,7 @@
 def _match_header(
     pattern: re.Pattern[bytes], headers: Mapping[bytes, bytes], name: bytes
 ) -> re.Match[bytes]:
-    """Return the match of the whole header."""
+    """Match a whole header value; raise RequestError if it is missing or malformed."""
     match = pattern.fullmatch(headers.get(name, b""))
     if match is None:
         raise RequestError(400, f"{name.decode()} is missing or senseless")
@@ -190,9 +211,10 @@
 
 
 def _forwarded_head(message: RequestMessage) -> bytes:
-    """Return the request line and the end-to-end headers, without Request-Timeout and the end.
+    """Return the request line and the end-to-end headers, each with its line ending.
 
-    Content-Length is written only where a body may come.
+    Request-Timeout and the empty line that ends the head are left out. Content-Length is written
+    only for methods that permit a body.
     """
     not_forwarded = _NOT_FORWARDED
     connection = [value for name, value in message.headers if name == b"connection"]
--- a/sumacpost/server/request_handler.py
+++ b/sumacpost/server/request_handler.py
@@ -1,4 +1,4 @@
-"""What becomes of a client's complete request: the ingress takes it, or it is answered here."""
+"""Handles complete requests of clients: passes them to the ingress or answers them directly."""
 
 from __future__ import annotations
 
@@ -15,7 +15,12 @@
 
 
 class RequestHandler:
-    """Passes clients' requests to the ingress; answers health checks and bad requests itself."""
+    """Passes requests to the ingress; answers health checks and invalid requests itself.
+
+    Attributes:
+        recorder: records events of requests and connections.
+        draining: whether the shutdown has started.
+    """
 
     def __init__(self, ingress: Ingress, parser: RequestParser) -> None:
         self._ingress = ingress
@@ -24,7 +29,7 @@
         self.draining = False
 
     def handle(self, message: RequestMessage, response: PendingResponse) -> None:
-        """Start the request whose response this is, or answer it at once."""
+        """Pass the request to the ingress, or send its response immediately."""
         if message.target == HEALTH_CHECK_TARGET and message.method == b"GET":
             ready = self._ingress.ready and not self.draining
             response.send(200 if ready else 503)
@@ -39,14 +44,14 @@
             response.send(error.status, error.reason.encode(), _PLAIN_TEXT)
 
     def cancel(self, response: PendingResponse) -> None:
-        """Cancel the request if its response is still pending: its client has gone."""
+        """Cancel the request of a disconnected client if its response is still pending."""
         if response.head is None and response.request is not None:
             self._ingress.cancel_request(response.request)
 
     def drain(self) -> ShutdownSchedule:
-        """Report as not ready from now on, and let no request outlast the drain.
+        """Fail health checks from now on, and limit all deadlines to the end of the drain.
 
-        Return when the steps of the drain are due.
+        Return the schedule of the drain.
         """
         self.draining = True
         return self._ingress.drain()
--- a/sumacpost/server/response.py
+++ b/sumacpost/server/response.py
@@ -1,4 +1,4 @@
-"""The pending response to a request of a client."""
+"""The response to a client's request, from the request's arrival until it is written."""
 
 from __future__ import annotations
 
@@ -11,25 +11,35 @@
 
 
 class PendingResponse:
-    """The place of a response on its client's connection, and the response once there is one."""
+    """A response's position on its client connection, and its content once it is available.
+
+    Attributes:
+        connection: the client connection.
+        keep_alive: whether the connection stays open after this response.
+        received_at: when the last byte of the request was received, in monotonic seconds.
+        request: the request, once the ingress has accepted it.
+        head: the status line and headers, once available; without the Connection header and the
+            empty line at the end.
+        body: the body.
+    """
 
     __slots__ = ("body", "connection", "head", "keep_alive", "received_at", "request")
 
     def __init__(self, connection: ResponseOwner, keep_alive: bool, received_at: float) -> None:
         self.connection = connection
-        self.keep_alive = keep_alive  # the connection stays open after this response
-        self.received_at = received_at  # monotonic seconds: when the request's last byte came
-        self.request: ProxiedRequest | None = None  # once the ingress has accepted it
-        self.head: bytes | None = None  # without its Connection header and the empty line
+        self.keep_alive = keep_alive
+        self.received_at = received_at
+        self.request: ProxiedRequest | None = None
+        self.head: bytes | None = None
         self.body = b""
 
     def send(self, status: int, body: bytes = b"", headers: Headers = ()) -> None:
-        """Send the final response once those before it on the connection are sent.
+        """Set the final response; it is written after those before it on the connection.
 
-        Raise RuntimeError if there has been one.
+        Raise RuntimeError if the request already has a response.
         """
         if self.head is not None:
-            raise RuntimeError("a second response to one request")
+            raise RuntimeError("the request already has a response")
         lines = [
             b"HTTP/1.1 %d %b" % (status, _REASON_PHRASES.get(status, b"")),
             b"Content-Length: %d" % len(body),
@@ -40,5 +50,5 @@
         self.connection.advance()
 
     def client_disconnected(self) -> bool:
-        """Return whether the client has gone, even if the loop has not learnt that yet."""
+        """Return whether the client has disconnected, even if the loop has not detected it yet."""
         return self.connection.has_disconnected()
--- a/sumacpost/server/server.py
+++ b/sumacpost/server/server.py
@@ -1,4 +1,4 @@
-"""The server that clients talk to."""
+"""The HTTP server for clients."""
 
 from __future__ import annotations
 
@@ -16,7 +16,13 @@
 
 
 class Server:
-    """Serves clients, within a bound on their connections, until it is drained."""
+    """Serves clients on a limited number of connections until it is drained.
+
+    Attributes:
+        handler: handles complete requests.
+        connections: all client connections.
+        listener: accepts connections.
+    """
 
     def __init__(self, ingress: Ingress, parser: RequestParser, max_connections: int) -> None:
         self.handler = RequestHandler(ingress, parser)
@@ -24,15 +30,21 @@
         self.listener = Listener(self.connections, self._new_connection)
 
     def listen(self, address: Address) -> Address:
-        """Start accepting; return the address, with the port that the system chose for port 0."""
+        """Start accepting; return the address, with the port chosen by the system for port 0.
+
+        Raise OSError if the address can't be bound.
+        """
         return self.listener.open(address)
 
     def enforce_timeouts(self) -> None:
-        """End the requests and connections whose time is over; to be called regularly."""
+        """End the requests and connections whose time limit has passed; call it regularly."""
         self.connections.enforce_timeouts()
 
     async def drain(self) -> None:
-        """Accept what still comes, finish all requests, and return when all connections ended."""
+        """Accept late connections and finish all requests.
+
+        Return when all connections have ended or the process has to exit.
+        """
         started_at = time.monotonic()
         schedule = self.handler.drain()
         recorder = self.handler.recorder
--- a/sumacpost/server/socket_state.py
+++ b/sumacpost/server/socket_state.py
@@ -1,4 +1,4 @@
-"""What the system knows of a client's socket, which the event loop may not have learnt yet."""
+"""The kernel's state of a client's socket, which the event loop may not have detected yet."""
 
 from __future__ import annotations
 
@@ -6,20 +6,22 @@
 import socket
 import struct
 
-# The states that TCP_INFO begins with as long as the peer has not ended its sending: established,
-# and the two after this side has ended its own.
+# TCP states in which the peer has not closed its sending direction: ESTABLISHED (1), and FIN_WAIT1
+# (4) and FIN_WAIT2 (5), which follow when this side has closed its own. The state is the first byte
+# of TCP_INFO.
 _TCP_STATES_PEER_SENDING = frozenset((1, 4, 5))
-# Errors of a look at a socket that say nothing of its peer: there is nothing to read, or the system
-# is short of memory for the moment.
+# Errors of a read that do not imply a disconnected peer: there is nothing to read, the call was
+# interrupted, or the system is temporarily short of memory.
 _ERRORS_UNRELATED_TO_PEER = frozenset(
     (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOMEM, errno.ENOBUFS)
 )
-# Of TCP_INFO: where the milliseconds since the last data came stand, and up to where it is read.
+# The part of TCP_INFO up to and including tcpi_last_data_recv, the milliseconds since the last
+# data was received; the only field that is read.
 _LAST_DATA_AGE_FIELD = struct.Struct("=52xI")
 
 
 def has_unread_input(sock: socket.socket) -> bool:
-    """Return whether bytes stand in the socket."""
+    """Return whether the socket's receive buffer contains unread bytes."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
     except OSError:
@@ -27,9 +29,9 @@
 
 
 def peer_has_disconnected(sock: socket.socket) -> bool:
-    """Return whether the peer has closed or reset the connection, or ended its sending.
+    """Return whether the peer has closed or reset the connection, or closed its sending direction.
 
-    Behind unread bytes a peek shows just these; there the state of the connection tells it.
+    While there are unread bytes, a peek returns only these, so the TCP state is examined instead.
     """
     try:
         if not sock.recv(1, socket.MSG_PEEK):
@@ -39,15 +41,17 @@
     try:
         tcp_state = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
     except OSError:
-        return False  # a system that doesn't tell: it shows once the bytes are read
+        return False  # state not available; a close is detected once the bytes have been read
     return tcp_state not in _TCP_STATES_PEER_SENDING
 
 
 def unread_input_age_s(sock: socket.socket, max_age_s: float) -> float:
-    """Return for how many seconds the last of the unread bytes have stood in the socket.
+    """Return how long the most recent unread bytes have been in the socket, in seconds.
 
-    0 where there are none. at_most_s bounds what the system says, and is returned where it does
-    not say: it is for how long nobody has looked.
+    Return 0 if there are no unread bytes.
+
+    max_age_s: the longest time for which the socket can have waited unexamined, in seconds. It
+        limits the kernel's value, and is returned if the kernel does not provide one.
     """
     if max_age_s <= 0 or not has_unread_input(sock):
         return 0.0
