--- a/sumacpost/diagnostics/__init__.py
+++ b/sumacpost/diagnostics/__init__.py
@@ -1,1 +1,1 @@
-"""What the ingress tells its operators about single requests and connections."""
+"""Diagnostic events of single requests and connections, and the log stream for operators."""
--- a/sumacpost/diagnostics/event_recorder.py
+++ b/sumacpost/diagnostics/event_recorder.py
@@ -1,9 +1,9 @@
-"""What became of requests, attempts and connections: counted, the latest kept, a drain logged.
+"""Records events of requests, attempts and connections.
 
-A line for each request would cost more than it tells while all is well. So in normal service events
-are only counted, and the latest are kept in memory for a look at them (SIGUSR1) or the end of a
-request that should not have ended so. In a drain each event is logged at once: its requests are
-few, and a process that is killed can tell nothing later.
+In normal operation a log line for each request would cost more than it is worth. So events are only
+counted, and the most recent ones are kept in memory; they are logged on SIGUSR1 or when a rule is
+violated. During a drain each event is logged immediately, because there are few requests and a
+process that is killed can't log anything later.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 log = logging.getLogger(__name__)
 
-MAX_KEPT_EVENTS = 512  # of a busy ingress, a second or two; some 200 KB
+MAX_KEPT_EVENTS = 512  # about 1 to 2 s of events at a busy ingress; about 200 KB
 
 
 class EventKind(Enum):
-    """What has happened; the values are the first words of the log line."""
+    """The kinds of events; the values are the first words of the log line."""
 
     REQUEST_ACCEPTED = "request accepted"
-    REQUEST_REFUSED = "request refused"  # not valid, so no policy has seen it
+    REQUEST_REFUSED = "request refused"  # invalid, so it is not passed to the policy
     REQUEST_CANCELLED = "request cancelled"
-    REQUEST_CONCLUDED = "request concluded"  # its final response is written
+    REQUEST_CONCLUDED = "request concluded"  # its final response is passed to the client connection
     ATTEMPT_STARTED = "attempt started"
-    ATTEMPT_SKIPPED = "attempt skipped"  # chosen, and not written
+    ATTEMPT_SKIPPED = "attempt skipped"  # started, but not written
     ATTEMPT_ENDED = "attempt ended"
     CLIENT_CONNECTION_CLOSED = "client connection closed"
     BACKEND_CONNECTION_CLOSED = "backend connection closed"
@@ -36,15 +36,15 @@
 
 
 class RecordedEvent(NamedTuple):
-    """One event. A named tuple, as one is made for each event of each request.
+    """One event. A named tuple, which is cheap to create for each event of each request.
 
     Attributes:
-        at_s: when, in monotonic seconds.
+        at_s: the time of the event, monotonic clock, in seconds.
         kind: what has happened.
-        reason: why, or with what result; a word, as it is counted by it.
-        subject: what it happened to: the id of a request, or the address of a peer.
-        detail: further fields, with a % for each of `values`.
-        values: formatted only where the event is logged.
+        reason: why it happened, or its result; a single word, because events are counted by it.
+        subject: what the event concerns: the id of a request, or the address of a peer.
+        detail: further fields of the log line, as a %-format string for `values`.
+        values: the values for `detail`; formatted only if the event is logged.
     """
 
     at_s: float
@@ -62,11 +62,11 @@
 
 
 class EventRecorder:
-    """Counts events by kind and reason, and keeps the latest.
+    """Counts events by kind and reason, and keeps the most recent ones.
 
     Attributes:
-        logs_live: whether each event is logged as it comes.
-        counts: how many events there have been, by kind and reason.
+        logs_live: whether each event is logged immediately.
+        counts: the number of events since the start, by kind and reason.
     """
 
     def __init__(self) -> None:
@@ -77,7 +77,7 @@
     def record(
         self, kind: EventKind, reason: str, subject: object, detail: str = "", *values: object
     ) -> None:
-        """Count and keep an event, and log it if events are logged live."""
+        """Count and keep an event, and log it if live logging is on."""
         event = RecordedEvent(time.monotonic(), kind, reason, subject, detail, values)
         self.counts[kind, reason] += 1
         self._recent.append(event)
@@ -87,31 +87,34 @@
     def record_violation(
         self, rule: str, subject: object, detail: str = "", *values: object
     ) -> None:
-        """Record that a rule has been broken, or would have been, by a fault of the program."""
+        """Record that a fault of the program has violated a rule, or would have violated it.
+
+        Log the violation and the recent events of its subject.
+        """
         self.record(EventKind.VIOLATION, rule, subject, detail, *values)
         log.error("rule violated: subject=%s rule=%s " + detail, subject, rule, *values)
         self.log_events_of(subject)
 
     @property
     def violation_count(self) -> int:
-        """How many violations there have been."""
+        """The number of violations since the start."""
         counts = self.counts.items()
         return sum(count for (kind, _), count in counts if kind is EventKind.VIOLATION)
 
     def log_events_of(self, subject: object) -> None:
-        """Log the kept events of one subject, as a request has ended that should not have."""
+        """Log the kept events of one subject, to explain a violation."""
         for event in self._recent:
             if event.subject == subject:
                 _log_with_age(event)
 
     def log_recent_events(self) -> None:
-        """Log all kept events, and the counts."""
+        """Log all kept events and the counts of all events."""
         for event in self._recent:
             _log_with_age(event)
         self.log_counts()
 
     def log_counts(self) -> None:
-        """Log how many events there have been since the start."""
+        """Log the number of events since the start, by kind and reason."""
         fields = (
             f"{kind.value.replace(' ', '_')}.{reason}={count}"
             for (kind, reason), count in sorted(
--- a/sumacpost/diagnostics/log_stream.py
+++ b/sumacpost/diagnostics/log_stream.py
@@ -1,7 +1,8 @@
-"""The log's way to standard error, which never holds up the event loop.
+"""Logging to standard error that never blocks the event loop.
 
-A pipe whose reader has stopped would block the process at the next line, with all its requests. So
-a line that the stream does not take at once is dropped, and how many were is told in the next one.
+A pipe whose reader has stopped would block the process, with all its requests, at the next log
+line. So a line that can't be written immediately is dropped, and the next line that is written
+reports the number of dropped lines.
 """
 
 from __future__ import annotations
@@ -12,16 +13,17 @@
 from contextlib import suppress
 
 LOG_FORMAT = "%(asctime)s %(levelname)s %(message)s"
-# A pipe takes so much as a whole or not at all; a longer line, such as a traceback, may be cut.
+# A write of up to this size to a pipe is atomic. A longer line, such as a traceback, is written in
+# several parts and may be truncated.
 MAX_ATOMIC_BYTES = 4096
 LAST_STANDARD_DESCRIPTOR = 2
 
 
 class DroppingLogHandler(logging.Handler):
-    """Writes each record to a descriptor at once, or drops it.
+    """Writes each record to a descriptor without waiting, or drops it.
 
     Attributes:
-        dropped: lines that were dropped since the last one that was written.
+        dropped: the number of lines dropped since the last line that was written.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -35,7 +37,7 @@
                 os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record; an error of the stream is no error of the program."""
+        """Write one record; drop it if the stream reports an error."""
         text = self.format(record)
         if self.dropped:
             text += f"\nlog lines dropped: count={self.dropped}"
@@ -50,10 +52,10 @@
 
 
 def reserve_standard_descriptors() -> None:
-    """Open the null device at each standard descriptor that is closed.
+    """Open the null device on each standard descriptor that is closed.
 
-    Otherwise the next socket would get its number, and be sent the log; and the event loop aborts
-    the process as it closes a descriptor of its own with such a number.
+    Otherwise the next socket would get that descriptor number and receive the log, and the event
+    loop would abort the process when it closes a descriptor of its own with such a number.
     """
     while (descriptor := os.open(os.devnull, os.O_RDWR)) <= LAST_STANDARD_DESCRIPTOR:
         pass
@@ -61,5 +63,5 @@
 
 
 def log_to_standard_error() -> None:
-    """Let all loggers write to standard error, from level INFO on."""
+    """Configure all loggers to write to standard error, at level INFO and above."""
     logging.basicConfig(level=logging.INFO, handlers=[DroppingLogHandler(2)])
--- a/sumacpost/model/actions.py
+++ b/sumacpost/model/actions.py
@@ -1,4 +1,4 @@
-"""The actions of a gateway: what the network code is to do. All times are in milliseconds."""
+"""The actions that a gateway requests from the network code. All times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -12,38 +12,38 @@
     """Why an attempt is started."""
 
     FIRST = "first"
-    RETRY = "retry"  # the attempt before it has ended without a good response
-    HEDGE = "hedge"  # the attempt before it is overdue and goes on
+    RETRY = "retry"  # the previous attempt has ended without a successful response
+    HEDGE = "hedge"  # the previous attempt is overdue and still in flight
 
 
 class NotSentReason(Enum):
-    """Why a request is not served, or an attempt of it not sent; the values are for the log."""
+    """Why a request is not served, or an attempt is not sent; the values appear in the log."""
 
     UNSTATED = "unstated"
-    QUOTA = "quota"  # the customer is over its quota
-    CEILING = "ceiling"  # the customer is over its plan's hard ceiling
-    OVERLOAD = "overload"  # no backend would serve it in time
-    NOT_REPEATABLE = "not_repeatable"  # an attempt may have run, and no other may follow
-    ATTEMPTS_USED = "attempts_used"  # as many as the settings permit have ended
+    QUOTA = "quota"  # the customer has exceeded its quota
+    CEILING = "ceiling"  # the customer has exceeded the hard ceiling of its plan
+    OVERLOAD = "overload"  # no backend is expected to respond in time
+    NOT_REPEATABLE = "not_repeatable"  # an attempt may have run, and no other may follow it
+    ATTEMPTS_USED = "attempts_used"  # the request has had as many attempts as the settings allow
     DEADLINE = "deadline"  # too little time is left for another attempt
-    RETRY_BUDGET = "retry_budget"  # too many retries are being sent altogether
-    NO_BACKEND = "no_backend"  # none is left to send a retry to
-    WINDOW_OVER = "window_over"  # backends may have forgotten its idempotency key
-    OUT_OF_SCOPE = "out_of_scope"  # the backend does not know the key of the attempt before
-    SECOND_COPY = "second_copy"  # another attempt is out, and there may be one only
-    BACKEND_NOT_READY = "backend_not_ready"  # it drains, is gone or has started anew
+    RETRY_BUDGET = "retry_budget"  # the gateway is sending too many retries in total
+    NO_BACKEND = "no_backend"  # no backend is available for a retry
+    WINDOW_OVER = "window_over"  # backends may have dropped the request's idempotency key
+    OUT_OF_SCOPE = "out_of_scope"  # the backend does not recognize the key of an earlier attempt
+    SECOND_COPY = "second_copy"  # another attempt is in flight, and only one is allowed
+    BACKEND_NOT_READY = "backend_not_ready"  # the backend is draining, removed or restarted
     CONCLUDED = "concluded"  # the request has its final response
 
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt. The attempts of a request are numbered from 0, in the order of sending.
+    """Start an attempt. The attempts of a request are numbered from 0 in the order of sending.
 
     Attributes:
         request: the number of the request.
-        backend: where to send it.
+        backend: the backend to send the attempt to.
         timeout_ms: how long to wait for the response; 0: until the client's deadline.
-        reason: why it is started, for the log.
+        reason: why the attempt is started, for the log.
     """
 
     request: int
@@ -54,11 +54,11 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel an attempt; its one outcome still comes.
+    """Cancel an attempt; AttemptEnded still reports its outcome, exactly once.
 
     Attributes:
         request: the number of the request.
-        attempt: which of its attempts.
+        attempt: the index of the attempt.
     """
 
     request: int
@@ -67,12 +67,12 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final response: rejected; the request has had no effect, or repeating it has none.
+    """Final response: rejected. The request has had no effect, or repeating it is harmless.
 
     Attributes:
         request: the number of the request.
-        retry_after_ms: when the client is advised to retry, from now on; 0: no advice.
-        reason: why, for the log.
+        retry_after_ms: after which time the client is advised to retry; 0: no advice.
+        reason: why the request is rejected, for the log.
     """
 
     request: int
@@ -82,11 +82,11 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final response: failed; the request may have had its effect.
+    """Final response: failed. The request may have had an effect.
 
     Attributes:
         request: the number of the request.
-        reason: why, for the log.
+        reason: why the request fails, for the log.
     """
 
     request: int
@@ -95,11 +95,11 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Set a timer, which can't be cancelled; TimerFired comes in a later batch of events.
+    """Set a timer, which can't be cancelled; TimerFired arrives in a later batch of events.
 
     Attributes:
-        after_ms: when it fires, from now on.
-        label: returned with TimerFired.
+        after_ms: the time until the timer fires.
+        label: the label that TimerFired returns.
     """
 
     after_ms: float
@@ -108,10 +108,10 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Send a health check; HealthCheckEnded comes once for each.
+    """Send a health check; HealthCheckEnded reports its result, exactly once.
 
     Attributes:
-        backend: which backend to check.
+        backend: the backend to check.
     """
 
     backend: BackendId
@@ -122,7 +122,7 @@
     """Send bytes to other gateways, without a guarantee of delivery.
 
     Attributes:
-        gateway: the index of the receiver; None: all other gateways.
+        gateway: the index of the receiving gateway; None: all other gateways.
         body: the message, of at most 256 bytes.
     """
 
@@ -132,12 +132,12 @@
 
 @dataclass(slots=True)
 class AddToCounter:
-    """Add to a number of the shared counter; CounterReplied comes once for each.
+    """Add to a number of the shared counter; CounterReplied reports the result, exactly once.
 
     Attributes:
-        name: which number.
-        amount: what to add, in quota units; may be negative.
-        ttl_ms: how long the number lives from now on.
+        name: the name of the number.
+        amount: the amount to add, in quota units; may be negative.
+        ttl_ms: the time to live of the number.
     """
 
     name: int
@@ -147,10 +147,10 @@
 
 @dataclass(slots=True)
 class Log:
-    """Write a log line for the operators, on a rare change of state.
+    """Write a log line for the operators, for a rare change of state.
 
     Attributes:
-        text: the line.
+        text: the text of the line.
     """
 
     text: str
--- a/sumacpost/model/events.py
+++ b/sumacpost/model/events.py
@@ -1,6 +1,7 @@
 """The events that a gateway handles. All times are in milliseconds.
 
-A request is known by its number, an attempt of it by its index, from 0 in the order of sending.
+A request is identified by its number, and an attempt of a request by its index, which counts from 0
+in the order of sending.
 """
 
 from __future__ import annotations
@@ -9,42 +10,42 @@
 from enum import IntEnum
 
 BackendId = int
-"""Identifies a backend, the same at every gateway and after every restart."""
+"""Identifies a backend; the same at every gateway and after every restart."""
 
 
 class Outcome(IntEnum):
     """How an attempt, a health check or a counter call ended."""
 
-    OK = 1  # served, or the amount was added
+    OK = 1  # successful response, healthy backend, or amount added
     ERROR = 2  # the backend responded with an error
-    REJECTED = 3  # the peer shed it without running it
+    REJECTED = 3  # the peer shed the attempt or call without running it
     TIMEOUT = 4  # no response in time
-    CONNECT_FAILED = 5  # no connection could be made in time
-    RESET = 6  # the connection was lost, or what came was no response
+    CONNECT_FAILED = 5  # no connection could be established in time
+    RESET = 6  # the connection was lost, or the response was invalid
     CANCELLED = 7  # the gateway cancelled it
-    SKIPPED = 8  # not sent, as nothing was waited for any more
+    SKIPPED = 8  # not sent, because its result was no longer needed
 
     @property
     def never_ran(self) -> bool:
-        """True where the outcome proves that the backend did not run the request."""
+        """Whether the outcome proves that the backend did not run the request."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SKIPPED)
 
 
 class UpdateKind(IntEnum):
-    """What an update of the endpoint list holds."""
+    """What an update of the endpoint list contains."""
 
-    CHANGES = 0  # the changed entries only
-    FULL = 1  # the whole list, which replaces the one before
-    CACHED = 2  # the whole list as it was before a restart, perhaps out of date
-    FAILED = 3  # nothing: the list could not be had, and the one before stays
+    CHANGES = 0  # only the changed entries
+    FULL = 1  # the whole list, which replaces the previous one
+    CACHED = 2  # the whole list as it was before a restart; may be out of date
+    FAILED = 3  # nothing: the list was not available, and the previous one stays in use
 
 
 class EndpointStatus(IntEnum):
-    """The state of a backend as the endpoint list has it."""
+    """The state of a backend in the endpoint list."""
 
-    GONE = 0  # removed; among changes only
+    GONE = 0  # removed from the list; occurs only in CHANGES
     READY = 1
-    DRAINING = 2  # finishing its work: no new requests
+    DRAINING = 2  # finishing its requests; accepts no new ones
 
 
 @dataclass(slots=True)
@@ -52,13 +53,13 @@
     """One entry of the endpoint list.
 
     Attributes:
-        backend: which backend.
-        state: whether it takes requests.
+        backend: the identifier of the backend.
+        state: whether the backend accepts requests.
         zone: the number of its zone.
-        kind: the number of its kind of machine.
+        kind: the number of its machine type.
         cell: the number of its cell, for DeduplicationScope.CELL.
-        size: its size in relation to others, without a unit.
-        up_since_ms: when it last started, on the gateway's clock; 0: long ago.
+        size: its capacity relative to other backends, without a unit.
+        up_since_ms: when the backend last started, by the gateway's clock; 0: long ago.
     """
 
     backend: BackendId
@@ -76,8 +77,9 @@
 
     Attributes:
         kind: whether the entries are changes or the whole list.
-        entries: of a partitioned list, those of this gateway's partition.
-        version: the version of the list after the update; it only grows.
+        entries: the entries; if the list is partitioned, only those of this gateway's partition.
+        version: the version of the list after the update; versions of one discovery agent only
+            grow.
         partition_count: how many partitions the whole list is divided into.
     """
 
@@ -92,15 +94,16 @@
     """A client has sent a request; the gateway owes it one final response within time_left_ms.
 
     Attributes:
-        request: the number of the request; a retry by the client has a new one.
-        customer: whose quota it draws on.
+        request: the number of the request; a retry by the client has a new number.
+        customer: the number of the customer whose quota the request uses.
         plan: the index of the customer's plan in the settings.
         request_class: the index of its class in the settings.
-        units: what it draws from the quota; where Settings.settled_after holds, an estimate.
-        first_gateway: the index of the first gateway that gets this customer's requests.
-        gateway_spread: how many gateways in a row do, from the first on, counted round.
+        units: the quota units that the request uses; an estimate if Settings.settled_after is set.
+        first_gateway: the index of the first gateway that receives this customer's requests.
+        gateway_spread: how many consecutive gateways receive them, starting with first_gateway; the
+            last gateway is followed by gateway 0.
         time_left_ms: how long the client still waits.
-        retry: whether the client has marked it as a retry.
+        retry: whether the client has marked the request as a retry.
     """
 
     request: int
@@ -120,9 +123,9 @@
 
     Attributes:
         request: the number of the request.
-        attempt: which of its attempts.
-        backend: where the attempt was sent.
-        elapsed_ms: time since it was sent.
+        attempt: the index of the attempt.
+        backend: the backend that the attempt was sent to.
+        elapsed_ms: time since the attempt was sent.
     """
 
     request: int
@@ -133,20 +136,20 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt.
+    """The outcome of an attempt; reported exactly once.
 
     Attributes:
         request: the number of the request.
-        attempt: which of its attempts.
-        backend: where it was sent.
-        outcome: how it ended.
-        elapsed_ms: time since it was sent.
-        concluded: whether the request has its final response, by this attempt or before.
+        attempt: the index of the attempt.
+        backend: the backend that the attempt was sent to.
+        outcome: how the attempt ended.
+        elapsed_ms: time since the attempt was sent.
+        concluded: whether the request has its final response, from this attempt or earlier.
         quota_used_percent: the customer's use of its plan's rate at all gateways, in a recent
-            period of the meter; None where none is told.
-        actual_units: the units that the request has cost, in place of the estimate; 0: unknown.
-        report: the backend's load report, its values in the order of Settings.report_fields; may
-            be empty.
+            period of the meter; None if it is not reported.
+        actual_units: the units that the request has cost, which replace the estimate; 0: unknown.
+        report: the values of the backend's load report, in the order of Settings.report_fields;
+            may be empty.
     """
 
     request: int
@@ -162,7 +165,7 @@
 
 @dataclass(slots=True)
 class RequestCancelled:
-    """The client has left: no response is owed any more.
+    """The client has disconnected; no response is owed any more.
 
     Attributes:
         request: the number of the request.
@@ -173,7 +176,7 @@
 
 @dataclass(slots=True)
 class DeadlineReached:
-    """A request's time is over, and none of its attempts is in flight any more.
+    """A request has reached its deadline; none of its attempts is in flight any more.
 
     Attributes:
         request: the number of the request.
@@ -184,10 +187,10 @@
 
 @dataclass(slots=True)
 class DrainStarted:
-    """The gateway is to end: every request that is pending or still comes has less time.
+    """The gateway is about to shut down; pending and new requests get an earlier deadline.
 
     Attributes:
-        respond_within_ms: time from now on in which each final response is due.
+        respond_within_ms: the time within which every final response is due.
     """
 
     respond_within_ms: float
@@ -198,7 +201,7 @@
     """A timer is due.
 
     Attributes:
-        label: as it was given in SetTimer.
+        label: the label that SetTimer set.
     """
 
     label: int
@@ -209,8 +212,8 @@
     """The result of a health check.
 
     Attributes:
-        backend: which backend was checked.
-        outcome: OK if it is healthy.
+        backend: the backend that was checked.
+        outcome: OK if the backend is healthy.
         elapsed_ms: how long the check took.
         report: the backend's load report, as in AttemptEnded.
     """
@@ -226,7 +229,7 @@
     """A message from another gateway.
 
     Attributes:
-        sender: the index of that gateway.
+        sender: the index of the sending gateway.
         body: the message.
     """
 
@@ -236,13 +239,13 @@
 
 @dataclass(slots=True)
 class CounterReplied:
-    """The one reply to a counter call.
+    """The reply to a counter call; there is exactly one per call.
 
     Attributes:
-        name: the number that was added to.
-        outcome: OK if the amount was added; `Outcome.never_ran` proves that it was not.
+        name: the name of the number that was added to.
+        outcome: OK if the amount was added; if `outcome.never_ran` is true, it was not added.
         elapsed_ms: how long the call took.
-        total: the number's new total, in quota units; valid with OK only.
+        total: the new total of the number, in quota units; valid only if the outcome is OK.
     """
 
     name: int
--- a/sumacpost/model/settings.py
+++ b/sumacpost/model/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a deployment, as one gateway gets them. All times are in milliseconds."""
+"""The settings of a deployment for one gateway. All times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
     """Whether a request may be sent again after an attempt that may have run it."""
 
     IDEMPOTENT = "safe"  # always
-    IDEMPOTENCY_KEY = "keyed"  # to backends that recognize its key and drop repeats
+    IDEMPOTENCY_KEY = "keyed"  # only to backends that recognize its key and drop repeats
     NOT_IDEMPOTENT = "unsafe"  # never
 
 
 class DeduplicationScope(Enum):
     """Which backends recognize each other's idempotency keys."""
 
-    ALL = "all"  # all of them
-    ZONE = "zone"  # those of the same zone
-    CELL = "cell"  # those of the same cell
+    ALL = "all"  # all backends
+    ZONE = "zone"  # backends of the same zone
+    CELL = "cell"  # backends of the same cell
 
 
 class SettingsError(ValueError):
-    """A value that the settings can't have.
+    """A value in the settings is invalid.
 
     Attributes:
         field: the name of the field.
-        reason: what is wrong with its value.
+        reason: why the value is invalid.
     """
 
     def __init__(self, owner: object, field: str, reason: str) -> None:
@@ -37,7 +37,7 @@
 
 
 def _check_numbers(owner: object, minimums: dict[str, float]) -> None:
-    """Raise SettingsError naming the first field that is not a number of at least its minimum."""
+    """Raise SettingsError for the first field that is not a finite number >= its minimum."""
     for name, minimum in minimums.items():
         value = getattr(owner, name)
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
@@ -46,7 +46,7 @@
 
 
 def _check_types(owner: object, kinds: dict[str, type]) -> None:
-    """Raise SettingsError naming the first field that is not of its type."""
+    """Raise SettingsError for the first field that does not have its type."""
     for name, kind in kinds.items():
         value = getattr(owner, name)
         if not isinstance(value, kind):
@@ -58,15 +58,16 @@
     """A class of requests.
 
     Attributes:
-        latency_objective_ms: a response within this time has the full worth.
-        deadline_ms: how long a client waits in all, over all its retries.
-        priority_weight: what a response within the objective is worth.
+        latency_objective_ms: a response within this time has the full priority weight.
+        deadline_ms: how long a client waits in total, including all its retries.
+        priority_weight: the value of a response within the latency objective.
         idempotency: whether a request may be sent again.
         deduplication_scope: for IDEMPOTENCY_KEY: which backends drop repeats of a request.
-        deduplication_window_ms: for IDEMPOTENCY_KEY: for how long they do, from the sending of
-            the first attempt that may have run.
-        late_priority_weight: the part of the worth that a response after the objective still has.
-        name: as clients send it; may be empty.
+        deduplication_window_ms: for IDEMPOTENCY_KEY: how long these backends drop repeats, from the
+            sending of the first attempt that may have run.
+        late_priority_weight: the fraction of the priority weight that a response after the latency
+            objective still has.
+        name: the name of the class, as clients send it; may be empty.
     """
 
     latency_objective_ms: float
@@ -94,22 +95,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a customer of this plan may use, over all gateways.
+    """The limits on a customer of this plan, over all gateways.
 
-    The quota is a token bucket. Beyond it requests may still be forwarded, up to a ceiling, which
-    is a second bucket.
+    The quota is a token bucket. Requests that exceed it may still be forwarded, up to a ceiling,
+    which is a second token bucket.
 
     Attributes:
-        rate: what the quota refills with, in units a second; 0: no quota.
+        rate: the refill rate of the quota's bucket, in units per second; 0: no quota.
         burst: the size of the quota's bucket, in units.
-        open_limit: attempts in flight at once; 0: no limit.
-        price: what a unit of a request is worth, as a factor of its class's weight.
-        over_quota_weight: the part of its worth that a request beyond the quota earns if served.
-        over_quota_cost: the part of its worth that forwarding it costs, served or not.
-        ceiling_rate: what the ceiling refills with, in units a second; 0: no ceiling.
+        open_limit: the maximum number of attempts in flight at the same time; 0: no limit.
+        price: the value of one unit of a request, as a factor of the priority weight of its class.
+        over_quota_weight: the fraction of its value that a request beyond the quota has if it is
+            served.
+        over_quota_cost: the fraction of its value that forwarding a request beyond the quota costs,
+            whether it is served or not.
+        ceiling_rate: the refill rate of the ceiling's bucket, in units per second; 0: no ceiling.
         ceiling_burst: the size of the ceiling's bucket, in units.
-        ceiling_slack: how far below zero the ceiling's bucket may fall, in units.
-        name: as clients send it; may be empty.
+        ceiling_slack: how far below zero the level of the ceiling's bucket may fall, in units.
+        name: the name of the plan, as clients send it; may be empty.
     """
 
     rate: float
@@ -129,39 +132,41 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of a deployment, as one gateway gets them at start.
+    """The settings of a deployment that one gateway receives at startup.
 
     Attributes:
         gateways: how many gateways there are.
-        index: the number of this one among them, from 0.
-        classes: the classes of requests; events refer to them by index.
+        index: the index of this gateway among them, from 0.
+        classes: the request classes; events refer to them by index.
         plans: the plans of customers; events refer to them by index.
-        max_attempts: attempts for one request at most.
-        initial_capacity: the part of its full capacity that a starting backend has.
-        slow_start_ms: time from its start after which a backend has its full capacity.
-        overload_factor: load, as a multiple of its present capacity, above which a backend that is
-            warming up fails.
-        overload_window_ms: how long it bears such a load.
-        drain_grace_ms: time within which sending to a draining or removed backend must end.
+        max_attempts: the maximum number of attempts per request.
+        initial_capacity: the fraction of its full capacity that a backend has when it starts.
+        slow_start_ms: the time after its start at which a backend has its full capacity.
+        overload_factor: the load, as a multiple of its current capacity, above which a backend that
+            is warming up fails.
+        overload_window_ms: how long a backend withstands such a load.
+        drain_grace_ms: the time within which sending to a draining or removed backend must end.
         connect_timeout_ms: how long connecting to a backend may take.
-        response_grace_ms: time after a client's deadline in which a response still counts.
+        response_grace_ms: the time after a client's deadline during which a response still counts.
         zone: the number of this gateway's zone.
-        tick_ms: shortest time between two batches of events.
-        max_units: units of the largest request.
+        tick_ms: the shortest time between two batches of events.
+        max_units: the units of the largest possible request.
         clients_mark_retries: whether clients mark their retries as such.
-        retry_after: whether clients are given the time of a Retry-After.
-        max_retry_after_ms: the longest such time that clients heed.
+        retry_after: whether clients are given a Retry-After time.
+        max_retry_after_ms: the longest Retry-After time that clients respect.
         hedging: whether a request may have two attempts in flight.
         cancel: whether attempts may be cancelled.
         probes: whether health checks may be sent.
         peers: whether messages may be sent to other gateways.
-        peer_in_per_s: messages that a gateway receives, a second at most.
+        peer_in_per_s: the maximum number of peer messages that a gateway receives per second.
         counter: whether there is a shared counter.
         counter_timeout_ms: how long a counter call may wait for its reply.
-        counter_price: what as many counter calls as requests cost, in points of the result.
-        meter_ms: the length of the periods of the meter that tells quota_used_percent; 0: none.
+        counter_price: the cost of the counter calls if there are as many calls as requests, in
+            points of the result.
+        meter_ms: the length of the periods of the meter that reports quota_used_percent; 0: no
+            meter.
         settled_after: whether a request's units are an estimate until its attempt has ended.
-        report_fields: the names of the values of a load report, in their order.
+        report_fields: the names of the values in a load report, in order.
     """
 
     gateways: int
@@ -224,4 +229,4 @@
             )
         for name in ("classes", "plans"):
             if not getattr(self, name):
-                raise SettingsError(self, name, "at least one is needed")
+                raise SettingsError(self, name, "must not be empty")
--- a/sumacpost/service.py
+++ b/sumacpost/service.py
@@ -1,4 +1,4 @@
-"""The ingress as a process: start, signals, reload, and the order of start and stop."""
+"""The ingress process: startup, signal handling, configuration reload and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 log = logging.getLogger(__name__)
 
-MAINTENANCE_INTERVAL_S = 0.25  # between the closings of connections that have been idle too long
+MAINTENANCE_INTERVAL_S = 0.25  # between two checks for connections that have timed out
 
-LISTEN_TIMEOUT_S = 20.0  # for which a shortage of the system is waited out
+LISTEN_TIMEOUT_S = 20.0  # how long listening is retried while the system lacks resources
 LISTEN_RETRY_DELAY_S = 0.05
 RESOURCE_SHORTAGE_ERRNOS = frozenset(
     (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN)
@@ -43,17 +43,18 @@
     signal.SIGUSR2,
 )
 
-# Exit statuses of the process.
+# Exit codes of the process.
 EXIT_OK = 0
 EXIT_CANNOT_SERVE = 1
 EXIT_BAD_CONFIG = 2
 
 
 class Service:
-    """The ingress with the tasks around it, from its start to the end of its graceful shutdown.
+    """The ingress with its background tasks, from startup to the end of the graceful shutdown.
 
     Attributes:
-        address: where clients are served; its port is the actual one once `run` has begun to serve.
+        address: the address on which clients are served; has the actual port number once `run`
+            listens on it.
     """
 
     def __init__(self, config: Config) -> None:
@@ -80,8 +81,8 @@
     async def run(self, stop: asyncio.Event, on_serving: Callable[[Service], object]) -> None:
         """Serve until `stop` is set, then drain.
 
-        `on_serving` is called once clients can connect; it never is if `stop` is set before that.
-        Raise OSError if the address can't be listened on.
+        `on_serving` is called once clients can connect, and not at all if `stop` is set before
+        that. Raise OSError if listening on the address fails.
         """
         self._discovery_task = SupervisedTask("discovery-watch", self._discovery.run)
         await self._start_counter()
@@ -105,17 +106,20 @@
         self._ingress.recorder.log_counts()
 
     def log_recent_events(self) -> None:
-        """Log the latest events and the counts of all, for a look at a running ingress."""
+        """Log the most recent events and the counts of all events, to inspect a running ingress."""
         self._ingress.recorder.log_recent_events()
 
     def toggle_event_log(self) -> None:
-        """Begin or end to log each event as it comes, outside a drain too."""
+        """Turn live logging of all events on or off; works outside a drain too."""
         recorder = self._ingress.recorder
         recorder.logs_live = not recorder.logs_live
         log.info("event log: live=%s", recorder.logs_live)
 
     def reload(self, config: Config) -> None:
-        """Use the addresses of another configuration; anything else in it needs a restart."""
+        """Switch to the discovery and counter addresses of a new configuration.
+
+        All other changes in the configuration need a restart.
+        """
         log.info("configuration reloaded: discovery=%s:%d", *config.discovery)
         self._discovery.change_address(config.discovery)
         if self._discovery_task is not None:
@@ -127,7 +131,7 @@
                 self._counter_task.restart()
 
     async def _start_counter(self) -> None:
-        """Connect to the counter, and wait until the first attempt has succeeded or failed."""
+        """Start the counter client, and wait until its first connection attempt has ended."""
         counter = self._ingress.counter
         if counter is None:
             return
@@ -138,10 +142,11 @@
         await first_attempt_done.wait()
 
     async def _listen(self, stop: asyncio.Event) -> bool:
-        """Begin to accept clients; return False if `stop` is set before that.
+        """Start to accept clients; return False if `stop` is set before that.
 
-        A system that is short of descriptors or memory for a moment must not end the process; raise
-        OSError once it has been so for long, and at once if the address is of no use.
+        A temporary shortage of descriptors or memory must not end the process, so listening is
+        retried. Raise OSError if the shortage lasts for LISTEN_TIMEOUT_S, and immediately for any
+        other error, such as an unusable address.
         """
         give_up_at = time.monotonic() + LISTEN_TIMEOUT_S
         while not stop.is_set():
@@ -167,7 +172,7 @@
         )
 
     async def _maintain(self) -> None:
-        """Close idle connections at regular intervals, for ever."""
+        """Close stale backend connections and enforce client timeouts at regular intervals."""
         while True:
             await asyncio.sleep(MAINTENANCE_INTERVAL_S)
             self._ingress.backends.close_stale_connections()
@@ -175,10 +180,10 @@
 
 
 class ConfigReloader:
-    """Reads the configuration again at SIGHUP; an invalid one changes nothing.
+    """Reloads the configuration on SIGHUP; an invalid configuration changes nothing.
 
-    Create it at the very start of the process, as an unhandled SIGHUP would end that. A signal that
-    comes before `attach` is remembered.
+    Create it at the very start of the process, because an unhandled SIGHUP would end the process. A
+    signal that arrives before `attach` takes effect when `attach` is called.
     """
 
     def __init__(self) -> None:
@@ -189,7 +194,7 @@
         signal.signal(signal.SIGHUP, lambda *_: self.request_reload())
 
     def attach(self, service: Service, path: str) -> None:
-        """Reload the file at `path` into `service` from now on. To be called on the event loop."""
+        """Reload the file at `path` into `service` on SIGHUP. Call this on the event loop."""
         self._service = service
         self._path = path
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.request_reload)
@@ -197,7 +202,7 @@
             self.request_reload()
 
     def request_reload(self) -> None:
-        """Read the file now, instead of a reading under way, or as soon as there is a service."""
+        """Start to read the file, replacing a read in progress; deferred until `attach`."""
         self._requested = self._service is None
         if self._service is None:
             return
@@ -209,14 +214,14 @@
         try:
             service.reload(await self._read())
         except ConfigError as error:
-            # the operator's error: its message says all, and a traceback would say nothing of it
+            # An error of the operator: the message is complete, and a traceback adds nothing.
             log.error("configuration rejected: error=%s", error)  # noqa: TRY400
         except Exception:
-            # nobody awaits this task: without a line here the failure would show nowhere
+            # Nothing awaits this task, so without a log line the failure would go unnoticed.
             log.exception("configuration reload failed")
 
     async def _read(self) -> Config:
-        """Read in steps, as a file with a long endpoint list would hold up the loop."""
+        """Read in steps, because a file with a long endpoint list would block the event loop."""
         steps = load_config_in_steps(self._path)
         while True:
             try:
@@ -248,16 +253,17 @@
         loop.add_signal_handler(signal.SIGUSR2, service.toggle_event_log)
 
     await serve(config, stop, attach)
-    # The loop gives each signal its default action back as it closes, and a late one would end the
-    # process as if it had crashed.
+    # When the loop closes, it restores the default action of each signal. A signal that arrives
+    # after that would end the process as if it had crashed.
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def main() -> int:
     """Run the ingress that RELAY_CONFIG configures, and return the exit status of the process.
 
-    EXIT_OK after a graceful shutdown; with one line on stderr, EXIT_BAD_CONFIG if the configuration
-    can't be used, and EXIT_CANNOT_SERVE if the address can't be listened on.
+    Return EXIT_OK after a graceful shutdown, EXIT_BAD_CONFIG if the configuration is invalid, and
+    EXIT_CANNOT_SERVE if listening on the address fails. In the last two cases one line is written
+    to standard error.
     """
     reserve_standard_descriptors()
     reloader = ConfigReloader()
--- a/sumacpost/settings_json.py
+++ b/sumacpost/settings_json.py
@@ -1,7 +1,7 @@
-"""The settings of the deployment as the configuration file has them: nested JSON.
+"""Parses the settings of the deployment from the nested JSON of the configuration file.
 
-They are validated as those of the simulator are: written as its `path=value` lines and parsed by
-its parser, so that both get the same checks and defaults.
+The JSON is converted to the simulator's `path=value` lines and then parsed by the simulator's
+parser, so that both sources have the same checks and defaults.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from sumacpost.model import Settings
 from sumacpost.settings_text import parse_settings
 
-_OBJECT_LISTS = ("categories", "plans")  # lists of objects even where they are empty
+_OBJECT_LISTS = ("categories", "plans")  # lists of objects, also when empty
 
 
 def parse_settings_json(raw: dict[str, Any]) -> Settings:
-    """Return the decoded settings; raise ValueError, KeyError or TypeError if they are invalid.
+    """Return the settings in the decoded JSON; raise ValueError, KeyError or TypeError if invalid.
 
-    The names of classes and plans stay as clients send them: on the simulator's wire a space or a
-    comma in a name becomes an underscore.
+    Names of classes and plans are restored from the JSON, because clients send them unchanged while
+    the `path=value` lines replace spaces and commas in a name by underscores.
     """
     settings = parse_settings("\n".join(flatten_settings(raw)))
     classes = tuple(
@@ -59,7 +59,7 @@
 
 
 def _format_scalar(value: object) -> str:
-    """Return a scalar as the simulator writes it: booleans in lower case, no space or comma."""
+    """Format a scalar as in the simulator's text: booleans in lower case, no space or comma."""
     if isinstance(value, bool):
         return str(value).lower()
     return "_".join(str(value).replace(",", " ").split())
--- a/sumacpost/settings_text.py
+++ b/sumacpost/settings_text.py
@@ -1,7 +1,7 @@
-"""The settings of a gateway as text: one `path=value` pair a line.
+"""Parses the settings of a gateway from text with one `path=value` pair per line.
 
-A list of plain values is joined by commas. A list of objects has its length at `path.count`, and
-the fields of its items at `path.0`, `path.1` and so on.
+The items of a list of scalars are joined by commas. A list of objects has its length at
+`path.count`, and the fields of its items at `path.0`, `path.1` and so on.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     "side_effect": Idempotency.NOT_IDEMPOTENT,
 }
 
-# The keys of those fields that the model itself checks.
+# The keys of the fields that the model validates, by field name.
 _CLASS_KEY_BY_FIELD = {
     "latency_objective_ms": "aim",
     "deadline_ms": "hard_limit",
@@ -37,22 +37,25 @@
     "ceiling_slack": "tolerance",
 }
 
-MAX_QUOTED_LINE = 40  # characters of a malformed line that an error repeats
+MAX_QUOTED_LINE = 40  # characters of a malformed line that are quoted in an error
 
 
 class _SettingsReader:
-    """Typed look-ups below one path; CodecError names a value that is missing or malformed."""
+    """Typed access to the values below one path.
+
+    Its methods raise CodecError, with the path, for a value that is missing or malformed.
+    """
 
     def __init__(self, values: Mapping[str, str], prefix: str = "") -> None:
         self._values = values
         self._prefix = prefix
 
     def path(self, key: str) -> str:
-        """Return the whole path of a key."""
+        """Return the full path of a key."""
         return self._prefix + key
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return a value as it stands; a key without default is required."""
+        """Return a value as text; a key without a default is required."""
         value = self._values.get(self.path(key), default)
         if value is None:
             raise CodecError(f"settings: {self.path(key)} is missing")
@@ -67,28 +70,28 @@
             raise CodecError(f"settings: {self.path(key)}: {text!r} is not a number") from None
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Return a value as a whole number."""
+        """Return a value as an integer."""
         value = self.number(key, default)
         if not value.is_integer():
             raise CodecError(f"settings: {self.path(key)}: {value!r} is not a whole number")
         return int(value)
 
     def boolean(self, key: str) -> bool:
-        """Return a value as true or false; false if it is absent."""
+        """Return a value as a boolean; False if it is absent."""
         text = self.text(key, "false")
         if text not in ("true", "false"):
             raise CodecError(f"settings: {self.path(key)}: {text!r} is neither true nor false")
         return text == "true"
 
     def idempotency(self, key: str) -> Idempotency:
-        """Return a required value as a kind of idempotency."""
+        """Return a required value as an Idempotency."""
         text = self.text(key)
         if text not in _IDEMPOTENCY:
             raise CodecError(f"settings: {self.path(key)}: {text!r} is unknown")
         return _IDEMPOTENCY[text]
 
     def deduplication_scope(self, key: str) -> DeduplicationScope:
-        """Return a value as a scope of deduplication; all backends if it is absent."""
+        """Return a value as a DeduplicationScope; ALL if it is absent."""
         text = self.text(key, "all")
         try:
             return DeduplicationScope(text)
@@ -102,7 +105,7 @@
 
     @contextmanager
     def translating_errors(self, keys: Mapping[str, str]) -> Iterator[None]:
-        """Turn a SettingsError into a CodecError that names the key, as the operators wrote it."""
+        """Convert a SettingsError to a CodecError that names the key in the text, not the field."""
         try:
             yield
         except SettingsError as error:
@@ -152,7 +155,7 @@
 
 
 def _parse_report_fields(reader: _SettingsReader) -> tuple[str, ...]:
-    """Return the fields of a load report; none where backends send no reports."""
+    """Return the field names of a load report; empty if backends send no reports."""
     if reader.text("telemetry.via", "off") == "off":
         return ()
     fields = reader.text("telemetry.fields", "")
@@ -162,7 +165,7 @@
 def parse_settings(text: str) -> Settings:
     """Return the settings in a text; unknown keys are ignored.
 
-    Raise CodecError, or the model's SettingsError, naming the first value that can't be used.
+    Raise CodecError, or the model's SettingsError, which names the first invalid value.
     """
     reader = _SettingsReader(_split_lines(text))
     classes = [_parse_class(item) for item in reader.items("categories")]
--- a/sumacpost/simulator/__init__.py
+++ b/sumacpost/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway behind the simulator's binary protocol."""
+"""Connects gateways to the simulator through its binary protocol."""
--- a/sumacpost/simulator/adapter.py
+++ b/sumacpost/simulator/adapter.py
@@ -1,6 +1,6 @@
-"""The gateway as a process of the simulator: batches on standard input, replies on standard output.
+"""Runs gateways as a process of the simulator: batches on stdin, replies on stdout.
 
-One process holds many instances, each with a Gateway of its own.
+One process serves many instances, each with its own Gateway.
 """
 
 from __future__ import annotations
@@ -15,21 +15,22 @@
 
 EXIT_MALFORMED_INPUT = 2
 
-# Plain integers: an enumeration's members are slow to look up and to compare, once for each event.
+# Plain integers, because looking up and comparing enum members for each event is slow.
 _PROVISION = int(EventCode.PROVISION)
 _DOWN = int(EventCode.DOWN)
 
 
 class Adapter:
-    """The gateways of all instances that this process holds."""
+    """The gateways of all instances that this process serves."""
 
     def __init__(self) -> None:
         self._gateways: dict[int, Gateway] = {}
 
     def handle_batch(self, now_ms: float, count: int, body: bytes) -> bytes:
-        """Hand each event to its instance and return the records of the actions.
+        """Pass each event to the gateway of its instance and return the records of the actions.
 
-        Raise CodecError, with the record's number and place, if the batch is malformed.
+        Raise CodecError if the batch is malformed; it names the record's number and byte offset
+        where there is one.
         """
         reply: list[bytes] = []
         offset = 0
@@ -76,7 +77,7 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Reply to batches until the input ends; CodecError on the first that is malformed."""
+    """Reply to batches until the input ends; raise CodecError for the first malformed one."""
     adapter = Adapter()
     while header := source.read(records.BATCH_HEADER.size):
         if len(header) < records.BATCH_HEADER.size:
@@ -88,7 +89,11 @@
 
 
 def main() -> int:
-    """Return 0 at the end of the input, 2 after one line on standard error if it is malformed."""
+    """Run the adapter and return its exit code.
+
+    Return 0 at the end of the input, or 2 after one line on standard error if the input is
+    malformed.
+    """
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except CodecError as error:
--- a/sumacpost/simulator/codec.py
+++ b/sumacpost/simulator/codec.py
@@ -1,7 +1,7 @@
 """Conversion between the simulator's records and the typed messages of the gateway.
 
-`read_event` and `read_provision` take the fields of a record, without its header, and raise
-CodecError if they are malformed. `write_action` returns a whole record.
+`read_event` and `read_provision` read the fields of a record, without its header, and raise
+CodecError if they are malformed. `write_action` returns a complete record with its header.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 def _unpack_fixed(layout: Struct, fields: bytes, record: str) -> tuple[Any, ...]:
-    """Unpack a record without variable part; CodecError unless its length fits."""
+    """Unpack a record without a variable part; raise CodecError if its length is wrong."""
     if len(fields) != layout.size:
         raise CodecError(f"{record}: {len(fields)} bytes of fields, {layout.size} expected")
     return layout.unpack(fields)
@@ -70,7 +70,10 @@
 def _unpack_counted(
     layout: Struct, fields: bytes, item_size: int, record: str
 ) -> tuple[tuple[Any, ...], bytes]:
-    """Unpack a record whose last fixed field counts the items behind it; return both parts."""
+    """Unpack a record whose last fixed field is the number of items after the fixed fields.
+
+    Return the fixed fields and the bytes of the items; raise CodecError if the length is wrong.
+    """
     if len(fields) < layout.size:
         raise CodecError(
             f"{record}: {len(fields)} bytes of fields, at least {layout.size} expected"
@@ -80,28 +83,28 @@
     count = fixed[-1]
     if len(items) != count * item_size:
         raise CodecError(
-            f"{record}: {len(items)} bytes follow, {count} items of {item_size} bytes announced"
+            f"{record}: {len(items)} bytes follow, {count} items of {item_size} bytes expected"
         )
     return fixed, items
 
 
 def _checked_number(value: float, field: str, minimum: float = 0.0) -> float:
-    """Return the value; CodecError unless it is finite and not below the minimum."""
+    """Return the value; raise CodecError if it is not finite or is below the minimum."""
     if not (math.isfinite(value) and value >= minimum):
         raise CodecError(f"{field}: {value!r} is not a finite number of at least {minimum:g}")
     return value
 
 
 def _enum_member(kind: type[EnumMember], value: int, field: str) -> EnumMember:
-    """Return the member of an enumeration that has this value."""
+    """Return the enum member with this value; raise CodecError if there is none."""
     try:
         return kind(value)
     except ValueError:
-        raise CodecError(f"{field}: {value!r} is unknown") from None
+        raise CodecError(f"{field}: unknown value {value!r}") from None
 
 
 def _report_values(data: bytes, field: str) -> tuple[float, ...]:
-    """Return the values of a load report."""
+    """Return the values of a load report; raise CodecError if one is not finite."""
     values: tuple[float, ...] = struct.unpack(f"<{len(data) // records.REPORT_VALUE_SIZE}f", data)
     for value in values:
         _checked_number(value, field, -math.inf)
@@ -168,7 +171,7 @@
         outcome=_enum_member(Outcome, verdict, "COMPLETED verdict"),
         elapsed_ms=_checked_number(spent, "COMPLETED spent"),
         concluded=bool(over),
-        # The wire has the percentage plus 1, as 0 stands for an absent one.
+        # The record contains the percentage plus 1; 0 means that there is no percentage.
         quota_used_percent=used - 1.0 if used else None,
         actual_units=float(units),
         report=_report_values(items, "COMPLETED telemetry"),
@@ -226,9 +229,10 @@
 
 
 def read_event(code: int, fields: bytes, settings: Settings) -> Event:
-    """Return the event in a record that is neither the start nor the stop of an instance.
+    """Return the event in a record other than PROVISION and DOWN.
 
-    Raise CodecError if the record is malformed or names a class or plan that the settings lack.
+    Raise CodecError if the record is malformed or refers to a class or plan that the settings do
+    not have.
     """
     reader = _READERS.get(code)
     if reader is None:
@@ -246,7 +250,7 @@
 
 
 def read_provision(fields: bytes) -> tuple[int, Settings]:
-    """Return the seed and the settings of an instance that starts."""
+    """Return the seed and the settings in a PROVISION record, which starts an instance."""
     fixed, text = _unpack_counted(records.PROVISION, fields, 1, "PROVISION")
     _, seed, _ = fixed
     try:
@@ -259,7 +263,7 @@
 
 
 def _fixed_packer(code: ActionCode, fields: str) -> Callable[..., bytes]:
-    """Return a function that packs these fields behind the header of their record."""
+    """Return a function that packs a record of these fields, with its header."""
     layout = Struct(records.RECORD_HEADER.format + fields)
     return partial(layout.pack, int(code), layout.size - records.RECORD_HEADER.size)
 
@@ -315,7 +319,7 @@
 
 
 def _pack_counted(layout: Struct, code: ActionCode, size: int, *fields: int) -> bytes:
-    """Pack the fixed part of a record that ends with so many bytes."""
+    """Pack the fixed part of a record whose variable part has `size` bytes."""
     length = layout.size - records.RECORD_HEADER.size + size
     return layout.pack(code, length, *fields, size)
 
@@ -334,5 +338,5 @@
 
 
 def write_action(instance: int, action: Action) -> bytes:
-    """Return one action of an instance as a record."""
+    """Encode an action of an instance as a record."""
     return _WRITERS[type(action)](instance, action)
--- a/sumacpost/simulator/records.py
+++ b/sumacpost/simulator/records.py
@@ -1,8 +1,8 @@
-"""The layout of the simulator's protocol: record codes and fields, in the protocol's own names.
+"""The binary layout of the simulator's protocol; codes and fields have the protocol's names.
 
-All numbers are little-endian, with no padding between them. A frame is a header and then records; a
-record is a header, with its code and the length of its fields, and then these fields. A field named
-`count` is the number of items that follow the fixed fields.
+All numbers are little-endian, without padding between them. A frame consists of a header and
+records. A record consists of a header, with its code and the length of its fields, and the fields.
+A field named `count` is the number of items that follow the fixed fields.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class EventCode(IntEnum):
-    """Codes of the records in a batch, which the simulator sends."""
+    """Codes of the records in a batch that the simulator sends."""
 
     PROVISION = 1000
     STATUS_BACK = 1010
@@ -28,7 +28,7 @@
 
 
 class ActionCode(IntEnum):
-    """Codes of the records in a reply; only those that the gateway makes use of."""
+    """Codes of the records in a reply; only those that the gateway uses."""
 
     TEST = 1000
     FAIL = 1010
@@ -44,9 +44,9 @@
 BATCH_HEADER = Struct("<IdI")  # length, clock in ms, number of records
 REPLY_HEADER = Struct("<I")  # length
 RECORD_HEADER = Struct("<HI")  # code, length
-INSTANCE = Struct("<I")  # the first field of every event and action
+INSTANCE = Struct("<I")  # first field of every event and action
 
-# Fields of events, the instance first.
+# Fields of events; the instance is the first field.
 # instance, seed, count of bytes of settings
 PROVISION = Struct("<IQI")
 # instance, form, serial, count of entries
@@ -72,7 +72,7 @@
 
 REPORT_VALUE_SIZE = Struct("<f").size
 
-# Fields of actions, which follow the header of their record.
+# Fields of actions, after the header of the record. SHARE and DEBUG include the header.
 DISPATCH_FIELDS = "IQdIH"  # instance, call, timeout, address, port
 UNDO_SEND_FIELDS = "IQH"  # instance, call, attempt
 DENY_FIELDS = "IQd"  # instance, call, retry after
@@ -83,6 +83,6 @@
 SHARE = Struct("<HIIIH")  # code, length, instance, receiver, count of bytes
 DEBUG = Struct("<HIIH")  # code, length, instance, count of bytes
 
-EVERY_PEER = 0xFFFFFFFF  # a receiver of SHARE
-RETRY_BIT = 2  # of ACCEPT's bits
-MAX_TEXT_BYTES = 60_000  # of DEBUG
+EVERY_PEER = 0xFFFFFFFF  # receiver in SHARE: all other gateways
+RETRY_BIT = 2  # in the bits of ACCEPT: the client has marked the request as a retry
+MAX_TEXT_BYTES = 60_000  # maximum length of the text in DEBUG
