--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that tests of several packages share, and the treatment of known failures."""
+"""Fixtures shared by tests of several packages, and the reporting of known failures."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @pytest.fixture
 def connection_gate(monkeypatch: pytest.MonkeyPatch) -> ConnectionGate:
-    """Hold up connections to backends until the test opens the gate."""
+    """Delay connections to backends until the test opens the gate."""
     return ConnectionGate(monkeypatch)
 
 
 @pytest.hookimpl(hookwrapper=True)
 def pytest_runtest_makereport(item: pytest.Item) -> Generator[None, Any, None]:
-    """Report a failure that the list of known failures describes as an expected one."""
+    """Report a failure as expected if the list of known failures describes it."""
     outcome = yield
     report: pytest.TestReport = outcome.get_result()
     known = KNOWN_FAILURES.get(item.nodeid.partition("[")[0])
@@ -31,6 +31,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
-    """Name the known failures, whether they have failed in this run or not."""
+    """List all known failures, whether or not they have failed in this run."""
     for known in KNOWN_FAILURES.values():
         terminalreporter.write_line(f"known red: {known.test}: {known.seen} ({known.issue})")
--- a/tests/diagnostics/test_event_recorder.py
+++ b/tests/diagnostics/test_event_recorder.py
@@ -1,4 +1,4 @@
-"""What the recorder tells of a request, on a running ingress and by itself."""
+"""The event recorder, alone and on a running ingress."""
 
 from __future__ import annotations
 
--- a/tests/diagnostics/test_log_stream.py
+++ b/tests/diagnostics/test_log_stream.py
@@ -1,4 +1,4 @@
-"""The log never holds up the program, whatever its stream does."""
+"""Logging never blocks the program, even if its stream is full or closed."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def drain_pipe(reader: int) -> None:
-    """Read all that stands in the pipe."""
+    """Read all bytes that are in the pipe."""
     os.set_blocking(reader, False)
     with contextlib.suppress(BlockingIOError):
         while os.read(reader, 4096):
--- a/tests/simulator/examples.py
+++ b/tests/simulator/examples.py
@@ -1,4 +1,4 @@
-"""A settings text and records of the simulator's protocol that several test files share."""
+"""A settings text and records of the simulator's protocol, shared by several test files."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from sumacpost.simulator import records
 
-# The codes as the protocol has them, and not as the program does.
+# The codes of the protocol, stated independently of the program's own constants.
 PROVISION = 1000
 WITHDRAWN = 1020
 VIEW = 1050
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: an exchange, and the end on malformed input."""
+"""The adapter as a process: a valid exchange, and the exit on malformed input."""
 
 from __future__ import annotations
 
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec: the documented examples of events and actions, and the lengths of records."""
+"""The codec: the documented examples of events and actions, and record lengths."""
 
 from __future__ import annotations
 
--- a/tests/test_attempt_rules.py
+++ b/tests/test_attempt_rules.py
@@ -1,4 +1,4 @@
-"""What is asked right before an attempt is written, on a running ingress."""
+"""The checks right before an attempt is written to a connection, on a running ingress."""
 
 from __future__ import annotations
 
@@ -27,7 +27,11 @@
 def test_the_forwarded_timeout_is_computed_when_the_attempt_is_written(
     connection_gate: ConnectionGate,
 ) -> None:
-    """A backend was told up to the connect time-out too much; 0.15 s are allowed."""
+    """The time left must exclude the wait for a connection.
+
+    If it is computed when the attempt is started, the backend is given up to the connect timeout
+    too much; 0.15 s are allowed.
+    """
 
     async def test() -> None:
         async with running_ingress(respond()) as ingress:
@@ -43,7 +47,7 @@
 
 
 def set_backend_state(ingress: RunningIngress, state: EndpointStatus) -> None:
-    """Change the state of the only backend in the policy alone, as if its pool had not heard."""
+    """Change the state of the only backend in the policy alone; its pool is not updated."""
     (backend,) = ingress.gateway.endpoints.backends
     entry = Endpoint(backend, state)
     ingress.gateway.endpoints.update(EndpointListUpdate(UpdateKind.CHANGES, [entry]))
@@ -71,7 +75,7 @@
 def test_a_second_execution_that_the_policy_would_permit_is_prevented_and_counted(
     connection_gate: ConnectionGate,
 ) -> None:
-    """The network code knows by itself which attempts have been written."""
+    """The network code tracks which attempts were written, independently of the policy."""
 
     async def test() -> None:
         async with running_ingress(respond(), respond()) as ingress:
@@ -80,7 +84,7 @@
             await until(lambda: connection_gate.connect_calls == 1)
             (pending,) = ingress.bridge._pending.values()
             (attempt,) = pending.attempts
-            attempt.written = True  # as if the first attempt had run, unknown to the policy
+            attempt.written = True  # as if the first attempt may have run, unknown to the policy
             (policy_request,) = ingress.gateway.pending.values()
             policy_request.in_flight.clear()
             policy_request.attempted_backends.append(policy_request.attempted_backends[0])
@@ -93,7 +97,7 @@
 
 
 def test_time_in_the_listen_queue_is_subtracted_from_the_forwarded_timeout() -> None:
-    """No place is free for its client; it is read long after it has come."""
+    """All client connections are in use, so the request is read long after its arrival."""
 
     async def test() -> None:
         async with running_ingress(*[never_respond] * 8, sockets=64) as ingress:
--- a/tests/test_blocked_event_loop.py
+++ b/tests/test_blocked_event_loop.py
@@ -1,9 +1,9 @@
-"""What an ingress does with responses that came while its event loop was held up.
+"""Data that arrives in time while the event loop is blocked must not be treated as late.
 
-A run of the soak (seed 3, on a machine of the CI) got 429 for a request whose backend had answered
-84 ms before the deadline: the process had been stopped from 22 ms before the response until 21 ms
-after the deadline. As it went on, the event loop ran the timer of the deadline before it read the
-response. Each timer that gives something up was open to the same.
+After a block the event loop runs the timers that are due before it reads its sockets. A request got
+429 although its backend had responded 84 ms before the deadline: the process had been stopped from
+22 ms before the response until 21 ms after the deadline, and the deadline timer ran before the
+response was read. Every timer that implements a timeout has the same risk.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 
 
 async def block_event_loop(seconds: float, during: Callable[[], None]) -> None:
-    """Block the loop for a time, in the midst of which something happens elsewhere.
+    """Block the event loop for a time, and call `during` halfway through.
 
-    The loop is blocked as it reads its sockets, so that its next step is to run its timers; a
-    process that is stopped as it waits for its sockets goes on with its timers, too.
+    The loop is blocked while it reads its sockets, so that it runs its timers next. A process that
+    is stopped while it waits for its sockets also continues with its timers.
     """
     loop = asyncio.get_running_loop()
     reading_end, writing_end = socket.socketpair()
@@ -61,7 +61,7 @@
 
 
 def write(peer: Peer, data: bytes, close: bool = False) -> Callable[[], None]:
-    """Return a function with which a peer writes on its one connection, and may close it."""
+    """Return a function that writes to the peer's only connection, and closes it if asked to."""
 
     def write_now() -> None:
         write_immediately(peer.writers[0], data)
@@ -117,7 +117,7 @@
 
 
 def overdue_after_s(ingress: RunningIngress) -> float:
-    """Return after which time the one pending request is overdue."""
+    """Return the time in seconds after which the only pending request is overdue."""
     (pending,) = ingress.gateway.pending.values()
     (attempt,) = pending.in_flight.values()
     return (attempt.overdue_at - attempt.sent_at) / 1000
@@ -138,12 +138,12 @@
 
 
 async def half_response(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
-    """Write the begin of a response alone."""
+    """Write only the first bytes of a response."""
     writer.write(OK_RESPONSE[:10])
 
 
 def response_has_started(ingress: RunningIngress) -> bool:
-    """Return whether the ingress has read the begin of the response to its one request."""
+    """Return whether the ingress has read the first bytes of the response to its only request."""
     (pending,) = ingress.bridge._pending.values()
     connection = pending.attempts[0].connection
     return isinstance(connection, BackendConnection) and connection._stall_timer is not None
@@ -161,10 +161,10 @@
 
 
 class DelayedConnectLoop(asyncio.SelectorEventLoop):
-    """A loop that sees a connection come up only long after its timers have run."""
+    """An event loop that reports an established connection long after its timers have run."""
 
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
-        """Connect, and tell it late."""
+        """Connect, and return late."""
         await super().sock_connect(sock, address)
         await asyncio.sleep(60)
 
--- a/tests/test_closed_streams.py
+++ b/tests/test_closed_streams.py
@@ -1,8 +1,8 @@
 """A process that is started with closed standard streams.
 
-With standard error closed, the descriptor of the event loop got its number: log lines were written
-to it, and the process was aborted as it ended (status 134: libuv closes no such descriptor). A
-socket that got the number would have been sent the log.
+If standard error is closed, a descriptor of the event loop can get its number: log lines are then
+written to that descriptor, and the process is aborted when it exits (status 134), because libuv
+refuses to close a standard descriptor. A socket with that number would receive the log.
 """
 
 from __future__ import annotations
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration file."""
+"""Parsing and validation of the configuration file."""
 
 from __future__ import annotations
 
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""The bridge between sockets and gateway."""
+"""The ingress, which connects sockets and gateway."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 def test_exception_on_a_counter_reply_fails_the_waiting_request_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The event names no request, but the action that fails does."""
+    """The event refers to no request, but the action that fails does."""
 
     def send_to_unknown_backend(gateway: Gateway, now: float, event: Event) -> list[Action]:
         if isinstance(event, CounterReplied):
@@ -73,7 +73,9 @@
             backend.writers[0].write(OK_RESPONSE)
             assert (await first.read_response()).status == 200
             backend.script = respond()
-            assert (await ingress.send(request())).status == 200  # it is pending no more
+            assert (
+                await ingress.send(request())
+            ).status == 200  # the first request is no longer pending
             assert len(backend.requests) == 2
 
     run(test())
@@ -144,7 +146,11 @@
 
 
 def test_counter_reply_is_awaited_beyond_the_configured_timeout() -> None:
-    """The calls of a fleet queue at the counter: taken for lost, they admitted work over quota."""
+    """Calls that time out too early must not admit requests over quota.
+
+    The calls of a whole fleet queue at the counter, so replies may arrive after the configured
+    timeout.
+    """
 
     async def report_exhausted_quota_late(
         peer: Peer, call: bytes, writer: asyncio.StreamWriter
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures names existing tests, is read strictly, and passes over no others."""
+"""The list of known failures refers to existing tests, is validated, and hides no others."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     "text",
     [
         "tests/test_x.py::test_y",
-        LINE.replace("`", ""),  # tells no failure from another
+        LINE.replace("`", ""),  # does not identify a failure
         LINE + "\n\n",
         "\n".join([LINE] * 4),
     ],
--- a/tests/test_listen_shortage.py
+++ b/tests/test_listen_shortage.py
@@ -1,7 +1,7 @@
-"""A start while the system is short of descriptors or memory.
+"""A temporary shortage of descriptors or memory at startup must not end the process.
 
-A run of the soak with failing system calls (seed 4001) had a process that ended at its start with
-status 1: "can't serve: [Errno 23] Too many open files in system". The shortage lasted for 3 s.
+During a shortage that lasted for 3 s, a process exited at startup with status 1: "can't serve:
+[Errno 23] Too many open files in system".
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def fail_to_listen(monkeypatch: pytest.MonkeyPatch, error: int, times: int) -> list[int]:
-    """Let listening fail so many times; return a list of the errors that it has raised."""
+    """Make listening fail `times` times; return a list that collects the errors raised."""
     raised_errors: list[int] = []
     create_server = socket.create_server
 
@@ -74,7 +74,7 @@
 
 
 async def start_and_stop(raised_errors: list[int]) -> None:
-    """Start an ingress that can't listen, and tell it to end."""
+    """Start an ingress that can't listen, and stop it after the second failure."""
     stop = asyncio.Event()
     serving = asyncio.create_task(serve(minimal_config(), stop))
     await until(lambda: len(raised_errors) > 1)
@@ -83,5 +83,5 @@
 
 
 def minimal_config() -> Config:
-    """Return a configuration that an ingress starts with."""
+    """Return a minimal configuration with which an ingress starts."""
     return read_config(json.dumps(MINIMAL_CONFIG))
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""The users' term on restarts: nine in ten restarted processes are ready within ten seconds."""
+"""Required restart time: nine of ten restarted processes must be ready within ten seconds."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 READY_S = 10.0
 OUTAGE_S = 2.0
 
-# Faults of the agent of discovery that the first poll after the restart meets.
+# Faults of the discovery agent that affect the first poll after the restart.
 FAULTS: dict[str, Callable[[DiscoveryAgent], Script]] = {
     "silent": lambda agent: never_respond,
     "truncated and closed": lambda agent: agent.truncate_and_close,
@@ -31,20 +31,20 @@
 
 @dataclass(frozen=True)
 class RestartCase:
-    """How one process is restarted, and what it finds then."""
+    """How one process is restarted, and the state of its peers at that time."""
 
     number: int
-    fault: str  # none if empty
-    stale_list: bool  # whether it has cached a stale list instead of an empty one
+    fault: str  # key of FAULTS, "refused" (no connection), or empty: no fault
+    stale_list: bool  # whether the cached endpoint list is stale instead of empty
 
     @property
     def kill(self) -> bool:
-        """Whether it is ended by SIGKILL instead of SIGTERM."""
+        """Whether the process is ended by SIGKILL instead of SIGTERM."""
         return self.number % 2 == 1
 
     @property
     def counter_listens(self) -> bool:
-        """Whether the counter is silent instead of refusing connections."""
+        """Whether the counter accepts connections without replying, instead of refusing them."""
         return self.number % 4 < 2
 
 
@@ -62,7 +62,7 @@
 
 
 def first_poll_only(agent: DiscoveryAgent, fault: Script) -> Script:
-    """Return a script of the fault that ends it with the first poll."""
+    """Return a script that applies the fault to the first poll only."""
 
     async def script(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
         agent.fault = None
@@ -77,7 +77,7 @@
 
 
 class RestartScenario:
-    """One process among its peers, which is ended and started again."""
+    """A process with its peers; the process is ended and started again."""
 
     def __init__(self, case: RestartCase, backend: Peer, log: Path) -> None:
         self.case = case
@@ -122,7 +122,7 @@
         assert await process.wait() == (-signal.SIGKILL if self.case.kill else 0)
 
     async def _begin_fault(self) -> None:
-        self.discovery.script = self.agent_after  # sees the polls of the new process alone
+        self.discovery.script = self.agent_after  # receives only the polls of the new process
         if self.case.fault == "refused":
             await self.discovery.refuse_connections()
             returning = asyncio.create_task(listen_again_later(self.discovery))
@@ -152,10 +152,10 @@
 
 
 def test_nine_in_ten_restarted_processes_are_ready_in_time(tmp_path: Path) -> None:
-    """A process is ready once it answers GET /healthz with 200.
+    """A process is ready once it responds to GET /healthz with 200.
 
-    Two are restarted at a time, so that each has the processor that it would have by itself: its
-    ten seconds run from its own start.
+    At most two processes are restarted at the same time, so that each has as much processor time as
+    it would have alone. The ten seconds of each process run from its own start.
     """
     logs = {case: tmp_path / f"{case.number}.log" for case in CASES}
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The service as a whole: start, signals, a new configuration, and the end."""
+"""The service as a whole: startup, signals, configuration reload and shutdown."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass
 class LoggingProgram:
-    """The ingress as a process whose log is read."""
+    """The ingress as a process whose log the test reads."""
 
     process: asyncio.subprocess.Process
     log: asyncio.StreamReader
@@ -46,7 +46,7 @@
 
 @asynccontextmanager
 async def logging_program(config_file: Path) -> AsyncIterator[LoggingProgram]:
-    """Run the ingress with this configuration file, and kill it if it does not end by itself."""
+    """Run the ingress with this configuration file; kill it if it has not exited at the end."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -66,7 +66,7 @@
 def test_program_serves_from_its_cached_endpoint_list_and_exits_cleanly(
     tmp_path: Path, end_signal: signal.Signals
 ) -> None:
-    """Discovery can't be reached at all."""
+    """The discovery agent is unreachable."""
     config_file = tmp_path / "config.json"
 
     async def test() -> None:
@@ -96,7 +96,7 @@
 
         async def full_list(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             if b"from=" not in data:
-                # Its version is lower than that of the old agent's list.
+                # The version is lower than that of the old agent's list.
                 writer.write(list_response(new_backend, "s-new", 2))
 
         new_agent = Peer(full_list)
@@ -117,7 +117,7 @@
             assert b"from=" not in new_agent.requests[0]
             assert b"from=2&" in new_agent.requests[1]
             await until(lambda: ingress.discovery.connections_closed == 1)
-            # The call on the old connection gets its reply there.
+            # The call on the old connection gets its reply on that connection.
             ingress.counter.writers[0].write(b"$1\r\n4\r\n")
             await until(lambda: len(replies) == 1)
             assert replies[0].outcome is Outcome.OK
@@ -194,13 +194,13 @@
         await until(lambda: bool(reloaded))
 
     reloader = ConfigReloader()
-    os.kill(os.getpid(), signal.SIGHUP)  # would end the program
+    os.kill(os.getpid(), signal.SIGHUP)  # would end the program if it were not handled
     run(test())
     assert reloaded == ["the file"]
 
 
 def test_stop_during_startup_opens_no_listener(monkeypatch: pytest.MonkeyPatch) -> None:
-    """SIGTERM comes while the first connection to the counter is attempted."""
+    """`stop` is set during the first attempt to connect to the counter."""
     attempts: list[asyncio.Event] = []
 
     async def hang(counter: CounterClient, first_attempt_done: asyncio.Event) -> None:
@@ -239,7 +239,7 @@
             ingress.backends[0].writers[0].write(OK_RESPONSE)
             assert (await client.read_response()).status == 200
             await ingress.task
-            ingress.service.reload(config)  # no task is started again after the end
+            ingress.service.reload(config)  # no task is restarted after the shutdown
             discovery_task = ingress.service._discovery_task
             assert discovery_task is not None
             await until(discovery_task._task.done)
@@ -273,7 +273,7 @@
 
 
 def test_signals_during_exit_do_not_change_the_exit_status(tmp_path: Path) -> None:
-    """The event loop gives SIGHUP its default action back before the interpreter has ended."""
+    """The event loop restores the default action of SIGHUP before the interpreter exits."""
     config_file = tmp_path / "config.json"
     config_file.write_text(json.dumps(MINIMAL_CONFIG))
 
--- a/tests/test_settings_text.py
+++ b/tests/test_settings_text.py
@@ -1,4 +1,4 @@
-"""The settings text: what is read, and what is named where it can't be."""
+"""The settings text: values are parsed, and errors name the invalid key."""
 
 from __future__ import annotations
 
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Tasks that are started again when they fail."""
+"""Supervised tasks, which are restarted when they fail."""
 
 from __future__ import annotations
 
