--- a/sumacpost/policy/attempt_rules.py
+++ b/sumacpost/policy/attempt_rules.py
@@ -40,8 +40,8 @@
     if not ready:
         return NotSentReason.BACKEND_NOT_READY
     others_in_flight = any(number != attempt for number in request.in_flight)
-    unsafe = request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
-    if others_in_flight and (unsafe or not settings.hedging):
+    not_idempotent = request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
+    if others_in_flight and (not_idempotent or not settings.hedging):
         return NotSentReason.SECOND_COPY
     if request.is_repeatable:
         return None
@@ -61,6 +61,6 @@
 
 def _in_scope(request: PendingRequest, endpoint: Endpoint) -> bool:
     """Return whether a backend drops the repeats of what may have run before."""
-    pinned = request.pinned_group
-    everywhere = pinned is None or pinned.scope is DeduplicationScope.ALL
-    return everywhere or pinned in zone_and_cell_groups(endpoint)
+    pinned_group = request.pinned_group
+    is_global = pinned_group is None or pinned_group.scope is DeduplicationScope.ALL
+    return is_global or pinned_group in zone_and_cell_groups(endpoint)
--- a/sumacpost/policy/connection_rules.py
+++ b/sumacpost/policy/connection_rules.py
@@ -47,9 +47,9 @@
     return None
 
 
-def is_last_response(keep_alive: bool, draining: bool, more_requests: bool) -> bool:
+def is_last_response(keep_alive: bool, draining: bool, has_pending_requests: bool) -> bool:
     """Return whether a connection ends with the response that is due on it.
 
-    more_requests: others that were read on it have no response yet.
+    has_pending_requests: others that were read on it have no response yet.
     """
-    return not keep_alive or (draining and not more_requests)
+    return not keep_alive or (draining and not has_pending_requests)
--- a/sumacpost/policy/endpoint_table.py
+++ b/sumacpost/policy/endpoint_table.py
@@ -32,14 +32,14 @@
         """Follow the list: what it does not name as ready gets nothing new from now on."""
         if event.kind is UpdateKind.FAILED:
             return  # the old list stands
-        gone: list[int] = []
+        removed: list[int] = []
         if event.kind in (UpdateKind.FULL, UpdateKind.CACHED):
             listed = {endpoint.backend for endpoint in event.entries}
-            gone = [number for number in self.backends if number not in listed]
+            removed = [number for number in self.backends if number not in listed]
         if event.partition_count != self.partition.partition_count:
-            holds = self._repartition(event.partition_count).contains
-            gone += [n for n in self.backends if not holds(n) and n not in gone]
-        for number in gone:
+            contains = self._repartition(event.partition_count).contains
+            removed += [n for n in self.backends if not contains(n) and n not in removed]
+        for number in removed:
             self._update_membership(self.backends.pop(number).endpoint, False)
         for endpoint in event.entries:
             self._update_endpoint(endpoint)
@@ -55,8 +55,8 @@
         ready = self.subset.ready
         self.subset = Subset(settings.gateways, settings.index, partition_count)
         for backend in ready:
-            held = partition.contains_hash(backend.hash)
-            self.subset.set_ready(backend.backend, held, backend.hash)
+            in_partition = partition.contains_hash(backend.hash)
+            self.subset.set_ready(backend.backend, in_partition, backend.hash)
         self.partition = partition
         return partition
 
@@ -77,16 +77,16 @@
     def _update_membership(self, endpoint: Endpoint, ready: bool) -> None:
         """Add a ready backend to the subset and its groups, or remove one that is not ready."""
         backend_hash = splitmix64(endpoint.backend)
-        held = self.partition.contains_hash(backend_hash)
-        self.subset.set_ready(endpoint.backend, ready and held, backend_hash)
-        place = (backend_hash, endpoint.backend)
+        in_partition = self.partition.contains_hash(backend_hash)
+        self.subset.set_ready(endpoint.backend, ready and in_partition, backend_hash)
+        entry = (backend_hash, endpoint.backend)
         for group in zone_and_cell_groups(endpoint):
             members = self.ready_by_group.setdefault(group, [])
-            at = bisect_left(members, place)
-            if place in members[at : at + 1]:
-                del members[at]
+            position = bisect_left(members, entry)
+            if entry in members[position : position + 1]:
+                del members[position]
             if ready:
-                insort(members, place)
+                insort(members, entry)
             if not members:
                 del self.ready_by_group[group]
 
@@ -95,11 +95,15 @@
         subset = self.subset.members()
         if pinned_group is None or pinned_group.scope is DeduplicationScope.ALL:
             return subset
-        own = [n for n in subset if pinned_group in zone_and_cell_groups(self.backends[n].endpoint)]
+        in_subset = [
+            n for n in subset if pinned_group in zone_and_cell_groups(self.backends[n].endpoint)
+        ]
         members = self.ready_by_group.get(pinned_group, [])
-        at = bisect_left(members, (splitmix64(self._settings.index + 1), 0))
-        others = (n for _, n in members[at:] + members[:at] if n not in own)
-        return own + list(islice(others, max(0, MIN_SUBSET_SIZE - len(own))))
+        position = bisect_left(members, (splitmix64(self._settings.index + 1), 0))
+        outside_subset = (
+            n for _, n in members[position:] + members[:position] if n not in in_subset
+        )
+        return in_subset + list(islice(outside_subset, max(0, MIN_SUBSET_SIZE - len(in_subset))))
 
 
 def zone_and_cell_groups(endpoint: Endpoint) -> tuple[DeduplicationGroup, DeduplicationGroup]:
--- a/sumacpost/policy/fleet_estimate.py
+++ b/sumacpost/policy/fleet_estimate.py
@@ -88,8 +88,8 @@
         """Learn from the end of an attempt: every outcome moves the one measure of health."""
         outcome = event.outcome
         observed = event.elapsed_ms / attempt.outstanding_requests / attempt.work_ms
-        usual = self.inflation.current(now)
-        own = backend.inflation_by_class[attempt.request_class]
+        fleet_inflation = self.inflation.current(now)
+        class_inflation = backend.inflation_by_class[attempt.request_class]
         overdue = outcome is Outcome.CANCELLED and now > attempt.overdue_at
         # where the backend responded meanwhile, just one connection may be silent
         responded_since = backend.responded_at > attempt.sent_at
@@ -98,18 +98,20 @@
             backend.responded_at = now
         if outcome is Outcome.OK:
             self._observe_service_time(now, backend, event.elapsed_ms, attempt)
-            own.observe(now, observed, OBSERVATION_WEIGHT, usual)
+            class_inflation.observe(now, observed, OBSERVATION_WEIGHT, fleet_inflation)
             step = min(observed - 1, MAX_UNIT_STEP) * UNIT_WEIGHT
             self.unit_ms[attempt.request_class] *= 1 + step
         elif overdue or outcome not in INCONCLUSIVE_OUTCOMES:
-            mild = overdue or connection_silent or outcome is Outcome.RESET
-            value = MILD_FAILURE_INFLATION if mild else max(FAILURE_INFLATION, observed)
-            one_class = overdue or outcome in CLASS_FAILURE_OUTCOMES
-            for inflation in [own] if one_class else backend.inflation_by_class:
-                inflation.observe(now, value, FAILURE_WEIGHT, usual)
+            is_mild = overdue or connection_silent or outcome is Outcome.RESET
+            value = MILD_FAILURE_INFLATION if is_mild else max(FAILURE_INFLATION, observed)
+            concerns_one_class = overdue or outcome in CLASS_FAILURE_OUTCOMES
+            for inflation in (
+                [class_inflation] if concerns_one_class else backend.inflation_by_class
+            ):
+                inflation.observe(now, value, FAILURE_WEIGHT, fleet_inflation)
         if outcome in FLEET_OUTCOMES and not connection_silent:
             value = FAILURE_INFLATION / 2 if outcome is Outcome.REJECTED else observed
-            bounded = min(value, usual * MAX_INFLATION_STEP + 1)
+            bounded = min(value, fleet_inflation * MAX_INFLATION_STEP + 1)
             self.inflation.observe(now, bounded, OBSERVATION_WEIGHT)
 
     def _observe_service_time(
--- a/sumacpost/policy/gateway.py
+++ b/sumacpost/policy/gateway.py
@@ -122,8 +122,8 @@
         if not below_ceiling:
             self._reject(now, request, NotSentReason.CEILING)
         elif plan.over_quota_weight > plan.over_quota_cost:
-            too_large = bucket_size < event.units
-            self._admit(now, request, Grant.BUCKET if too_large else Grant.BEYOND_QUOTA)
+            exceeds_bucket = bucket_size < event.units
+            self._admit(now, request, Grant.BUCKET if exceeds_bucket else Grant.BEYOND_QUOTA)
         elif not self.quota_sync.draw_admission(now, customer):
             self._reject(now, request, NotSentReason.QUOTA)
         elif self.quota_sync.should_ask_counter(now, request):
@@ -244,8 +244,8 @@
         if event.quota_used_percent is not None:  # a meter takes the counter's place
             request.customer.adjust_share(now, event.quota_used_percent >= METER_FULL_PERCENT)
         if event.outcome is events.Outcome.OK:
-            charged = request.event.units
-            request.customer.settle_units(event.actual_units or charged, charged)
+            charged_units = request.event.units
+            request.customer.settle_units(event.actual_units or charged_units, charged_units)
         request.in_flight.pop(event.attempt, None)
         if event.concluded:
             if request.in_flight and self.settings.cancel:
--- a/sumacpost/policy/latency.py
+++ b/sumacpost/policy/latency.py
@@ -24,8 +24,8 @@
 
     def observe(self, now: float, value: float, weight: float, baseline: float = 1.0) -> None:
         """Move the estimate toward a value; a rare one weighs as much as the many it stands for."""
-        faded = 1 - 3 ** ((self.observed_at - now) / self.decay_ms)
-        weight = max(weight, min(FAILURE_WEIGHT, faded))
+        decayed_fraction = 1 - 3 ** ((self.observed_at - now) / self.decay_ms)
+        weight = max(weight, min(FAILURE_WEIGHT, decayed_fraction))
         estimate = self.current(now, baseline)
         self.value = estimate + (value - estimate) * weight
         gap_ms = now - max(self.observed_at, now - MAX_GAP_MS)
--- a/sumacpost/policy/load_balancing.py
+++ b/sumacpost/policy/load_balancing.py
@@ -41,8 +41,10 @@
         unit_ms = self._estimate.unit_ms
         priorities = [c.priority_weight / ms for c, ms in zip(classes, unit_ms, strict=True)]
         priority = priorities[class_number]
-        at_least = [c for c, p in zip(classes, priorities, strict=True) if p >= priority]
-        objective_ms = min(c.latency_objective_ms for c in at_least)
+        same_or_higher_priority = [
+            c for c, p in zip(classes, priorities, strict=True) if p >= priority
+        ]
+        objective_ms = min(c.latency_objective_ms for c in same_or_higher_priority)
         span = ADMISSION_FRACTION - MIN_ADMISSION_FRACTION
         return objective_ms * (MIN_ADMISSION_FRACTION + span * priority / max(priorities))
 
@@ -68,8 +70,8 @@
 
         While others are answered there is no silence: one connection may be dead.
         """
-        own = backend.inflation_by_class[request.event.request_class]
-        inflation = own.current(now, fleet_inflation)
+        class_inflation = backend.inflation_by_class[request.event.request_class]
+        inflation = class_inflation.current(now, fleet_inflation)
         expected_ms = request.work_ms * inflation * self.outstanding_requests(now, backend)
         oldest = next(iter(backend.in_flight.values()), None)
         if oldest is None:
@@ -87,8 +89,8 @@
             return None
         fleet_inflation = self._estimate.inflation.current(now)
         forecasts = [self.forecast(now, b, request, fleet_inflation) for b in allowed]
-        limit = min(forecasts) * TIE_FACTOR
-        ties = [b for b, forecast in zip(allowed, forecasts, strict=True) if forecast <= limit]
+        tie_limit = min(forecasts) * TIE_FACTOR
+        ties = [b for b, forecast in zip(allowed, forecasts, strict=True) if forecast <= tie_limit]
         best = self._random.choice(ties)
         return best if self._admits(now, request, best, threshold, fleet_inflation) else None
 
@@ -101,10 +103,16 @@
         fleet_inflation: float,
     ) -> bool:
         """Draw whether a request is sent, by how far the wait is past what it may meet."""
-        own = best.inflation_by_class[request.event.request_class].current(now, fleet_inflation)
+        class_inflation = best.inflation_by_class[request.event.request_class].current(
+            now, fleet_inflation
+        )
         # the lower one: one bad backend is no sign of an overloaded fleet
         mean_work_ms = self._estimate.mean_work_ms
-        wait_ms = min(fleet_inflation, own) * mean_work_ms * self.outstanding_requests(now, best)
+        wait_ms = (
+            min(fleet_inflation, class_inflation)
+            * mean_work_ms
+            * self.outstanding_requests(now, best)
+        )
         left_ms = request.objective_deadline - now
         excess = max(1.0, wait_ms / threshold)
         if threshold < inf and not request.attempted_backends:
--- a/sumacpost/policy/quota.py
+++ b/sumacpost/policy/quota.py
@@ -61,13 +61,13 @@
 
     def refill(self, now: float) -> None:
         """Fill the bucket and the ceiling for the time gone by."""
-        gone_s = (now - self.refilled_at) / 1000
+        elapsed_s = (now - self.refilled_at) / 1000
         self.refilled_at = now
         plan = self.plan
         share = self.quota_share
-        self.tokens = min(plan.burst * share, self.tokens + gone_s * plan.rate * share)
+        self.tokens = min(plan.burst * share, self.tokens + elapsed_s * plan.rate * share)
         share = self.initial_share
-        ceiling_tokens = self.ceiling_tokens + gone_s * plan.ceiling_rate * share
+        ceiling_tokens = self.ceiling_tokens + elapsed_s * plan.ceiling_rate * share
         self.ceiling_tokens = min(plan.ceiling_burst * share, ceiling_tokens)
 
     def ceiling_permits(self, units: float) -> bool:
@@ -85,11 +85,11 @@
         fill_rate = self.plan.rate * self.quota_share
         return self.return_queue.schedule(now, units, fill_rate, no_show_ms)
 
-    def settle_units(self, units: float, charged: float) -> None:
+    def settle_units(self, units: float, charged_units: float) -> None:
         """Settle what an answered request has used in place of what it was charged."""
         self.return_queue.record_units(units)
-        self.tokens -= units - charged
-        self.unreported_units += units - charged
+        self.tokens -= units - charged_units
+        self.unreported_units += units - charged_units
 
     def adjust_share(self, now: float, over_quota: bool) -> None:
         """Let an exhausted share grow, and that of a customer over its quota fall, each second."""
@@ -105,33 +105,33 @@
 
     def admission_probability(self, now: float, counter_call_rate: float) -> float:
         """Return the chance that units beyond the bucket are still in the shared balance."""
-        seconds = (
+        refill_s = (
             ASSUMED_REFILL_FRACTION * counter_call_rate * (now - self.balance_observed_at) / 1000
         )
-        believed = self.shared_balance + seconds * self.plan.rate
-        return believed / (AMPLE_BALANCE_FRACTION * self.plan.burst)
+        estimated_balance = self.shared_balance + refill_s * self.plan.rate
+        return estimated_balance / (AMPLE_BALANCE_FRACTION * self.plan.burst)
 
     def apply_counter_total(
-        self, now: float, before: float, reported_units: float, age_ms: float
+        self, now: float, previous_total: float, reported_units: float, age_ms: float
     ) -> float:
         """Set the shared balance by a reply; return what ran over, which the name's total lacks.
 
         before: the name's total without this call. use: units that it added. age_ms: of the name.
         """
         plan = self.plan
-        level = plan.burst - before + age_ms / 1000 * plan.rate
-        full = plan.burst
-        if before < MAX_FRESH_TOTAL:  # a fresh or lost name: what was missing still is
-            gone_s = (now - self.balance_observed_at) / 1000
-            full = min(full, self.shared_balance + gone_s * plan.rate)
-        self.shared_balance = min(full, level) - reported_units
+        balance = plan.burst - previous_total + age_ms / 1000 * plan.rate
+        max_balance = plan.burst
+        if previous_total < MAX_FRESH_TOTAL:  # a fresh or lost name: what was missing still is
+            elapsed_s = (now - self.balance_observed_at) / 1000
+            max_balance = min(max_balance, self.shared_balance + elapsed_s * plan.rate)
+        self.shared_balance = min(max_balance, balance) - reported_units
         self.balance_observed_at = now
-        ample = self.shared_balance > AMPLE_BALANCE_FRACTION * plan.burst
-        own_part = self.shared_balance * self.quota_share if ample else 0.0
-        held = max(own_part, min(self.tokens, self.shared_balance))
-        self.tokens = held - max(0.0, self.unreported_units)
+        is_ample = self.shared_balance > AMPLE_BALANCE_FRACTION * plan.burst
+        own_share = self.shared_balance * self.quota_share if is_ample else 0.0
+        tokens = max(own_share, min(self.tokens, self.shared_balance))
+        self.tokens = tokens - max(0.0, self.unreported_units)
         self.adjust_share(now, self.shared_balance < LOW_BALANCE_FRACTION * plan.burst)
-        return max(0.0, level - full)
+        return max(0.0, balance - max_balance)
 
 
 class CustomerTable:
--- a/sumacpost/policy/quota_sync.py
+++ b/sumacpost/policy/quota_sync.py
@@ -79,9 +79,9 @@
         if not self.enabled or not self._draw_call():
             return False
         settings = self._settings
-        replied_by = now + settings.counter_timeout_ms + 2 * settings.tick_ms
-        has_use = request.customer.unreported_units + request.event.units > 0
-        return has_use and replied_by < request.deadline
+        reply_due_at = now + settings.counter_timeout_ms + 2 * settings.tick_ms
+        has_usage = request.customer.unreported_units + request.event.units > 0
+        return has_usage and reply_due_at < request.deadline
 
     def report_usage(
         self, now: float, customer: CustomerQuota, request: PendingRequest | None = None
@@ -113,13 +113,13 @@
         if not calls:
             del self.pending_calls[event.name]
         self._adjust_call_rate(now, event)
-        waits = call.request is not None and call.request.event.request in pending
+        is_waiting = call.request is not None and call.request.event.request in pending
         name = self.current_name(now, call.customer)
         if event.outcome is Outcome.OK and name.number == event.name:
-            self._apply_total(now, call, event.total, name.age_ms, waits)
+            self._apply_total(now, call, event.total, name.age_ms, is_waiting)
         else:
             self._apply_failure(call, event.outcome)
-        if not waits:
+        if not is_waiting:
             call.request = None
         return call
 
@@ -164,22 +164,23 @@
             call.customer.unreported_units += call.reported_units - held_units
 
     def _apply_total(
-        self, now: float, call: CounterCall, total: float, age_ms: float, waits: bool
+        self, now: float, call: CounterCall, total: float, age_ms: float, is_waiting: bool
     ) -> None:
         customer = call.customer
         request = call.request
         reported_units = call.reported_units
         customer.refill(now)
-        before = total - reported_units - call.correction
+        previous_total = total - reported_units - call.correction
         call.surplus = (
-            customer.apply_counter_total(now, before, reported_units, age_ms) - call.correction
+            customer.apply_counter_total(now, previous_total, reported_units, age_ms)
+            - call.correction
         )
         balance = customer.shared_balance
-        if request is not None and waits and balance + reported_units >= request.event.units:
+        if request is not None and is_waiting and balance + reported_units >= request.event.units:
             call.grant = Grant.COUNTER
         # what is beyond the quota takes nothing from the balance, so it is returned
-        beyond = min(max(reported_units, 0.0), max(0.0, -balance))
+        beyond_quota = min(max(reported_units, 0.0), max(0.0, -balance))
         if request is not None and call.grant is None:
-            beyond = reported_units
-        customer.unreported_units -= beyond
-        customer.shared_balance += beyond
+            beyond_quota = reported_units
+        customer.unreported_units -= beyond_quota
+        customer.shared_balance += beyond_quota
--- a/sumacpost/policy/slow_start.py
+++ b/sumacpost/policy/slow_start.py
@@ -42,11 +42,13 @@
             return True
         if self._budget_may_be_spent(now, backend):
             return False
-        allowed = self._window_share(now, backend, capacity_fraction)
-        if not allowed:
+        request_limit = self._window_share(now, backend, capacity_fraction)
+        if not request_limit:
             return False
-        used = backend.recent_work.total(now - self._window_ms) + work_ms
-        return used <= (allowed + ROUNDING_REQUESTS) * self._estimate.long_term_mean_work_ms
+        used_ms = backend.recent_work.total(now - self._window_ms) + work_ms
+        return (
+            used_ms <= (request_limit + ROUNDING_REQUESTS) * self._estimate.long_term_mean_work_ms
+        )
 
     def record_send(
         self, now: float, backend: Backend, request: int, number: int, work_ms: float
@@ -100,6 +102,6 @@
         """
         settings = self._settings
         service_ms = self._estimate.service_time.upper_bound_ms(gateways)
-        warm_per_ms = max(1 / service_ms, self._estimate.warm_capacity_per_s / 1000)
-        per_ms = OVERLOAD_SAFETY_FRACTION * capacity_fraction * warm_per_ms
-        return per_ms * settings.overload_factor * settings.overload_window_ms
+        warm_requests_per_ms = max(1 / service_ms, self._estimate.warm_capacity_per_s / 1000)
+        requests_per_ms = OVERLOAD_SAFETY_FRACTION * capacity_fraction * warm_requests_per_ms
+        return requests_per_ms * settings.overload_factor * settings.overload_window_ms
--- a/sumacpost/policy/slow_start_budget.py
+++ b/sumacpost/policy/slow_start_budget.py
@@ -16,18 +16,19 @@
 
 from math import sqrt
 
-FEW_REQUESTS = 30.0  # below which a backend bears more by chance
+SMALL_WINDOW_REQUESTS = 30.0  # below which a backend bears more by chance
 NOTIFIED_FRACTION = 2 / 3  # of a fall: with less of it from those that know, it is not theirs
 
 
 def tolerated_requests(expected: float) -> float:
     """Return the requests of mean work that a backend bears in a window.
 
-    expected: N, or less. The allowance is smaller from FEW_REQUESTS on, and N may be there.
+    expected: N, or less. The allowance is smaller from SMALL_WINDOW_REQUESTS
+        on, and N may be there.
     """
-    many = max(expected, FEW_REQUESTS)
-    tolerated = many + 2 * sqrt(many) + 2
-    if expected < FEW_REQUESTS:
+    at_least_small = max(expected, SMALL_WINDOW_REQUESTS)
+    tolerated = at_least_small + 2 * sqrt(at_least_small) + 2
+    if expected < SMALL_WINDOW_REQUESTS:
         tolerated = min(tolerated, expected + 3 * sqrt(expected) + 3)
     return tolerated
 
@@ -39,11 +40,11 @@
     rounding: in [0, 1), the same for all gateways; decides about the part of a request.
     """
     limit = int(NOTIFIED_FRACTION * tolerated_requests(expected))
-    for_all = limit // gateways * gateways
-    for_some = (limit - for_all) // 2  # two periods meet in a window
-    return min(int(expected + rounding), for_all + for_some)
+    equal_part = limit // gateways * gateways
+    extra_part = (limit - equal_part) // 2  # two periods meet in a window
+    return min(int(expected + rounding), equal_part + extra_part)
 
 
-def gateway_share(units: int, gateways: int, place: int) -> int:
+def gateway_share(units: int, gateways: int, position: int) -> int:
     """Return what the gateway at a place in a period's order gets; places are from 0."""
-    return (units + place) // gateways
+    return (units + position) // gateways
--- a/sumacpost/policy/subsetting.py
+++ b/sumacpost/policy/subsetting.py
@@ -47,18 +47,18 @@
         """Return whether the backend with this hash is of this gateway's partition."""
         return backend_hash % self.partition_count == self.index % self.partition_count
 
-    def split_to_fit(self, listed: int) -> bool:
+    def split_to_fit(self, list_length: int) -> bool:
         """Divide until a list of this length fits; return whether that changed the partition."""
-        before = self.partition_count
-        while listed > self.partition_count * MAX_PARTITION_BACKENDS and self._is_divisible():
+        previous_count = self.partition_count
+        while list_length > self.partition_count * MAX_PARTITION_BACKENDS and self._is_divisible():
             self.partition_count *= 2
-        return self.partition_count != before
+        return self.partition_count != previous_count
 
-    def needs_repartitioning(self, held: int) -> bool:
+    def needs_repartitioning(self, backend_count: int) -> bool:
         """Return whether so many backends held show a fleet far too large or small for it."""
-        if held > 2 * MAX_PARTITION_BACKENDS:
+        if backend_count > 2 * MAX_PARTITION_BACKENDS:
             return self._is_divisible()
-        return self.partition_count > 1 and held < MAX_PARTITION_BACKENDS / 4
+        return self.partition_count > 1 and backend_count < MAX_PARTITION_BACKENDS / 4
 
     def _is_divisible(self) -> bool:
         """Return whether twice as many partitions would have enough gateways each."""
@@ -149,8 +149,8 @@
     def _find_rank(self, backend: int) -> int | None:
         if backend not in self._members:
             return None
-        before = self._subsets[: self._shard_position]
-        return sum(backend in subset for subset in before) * self.shard_count + self.shard
+        previous_subsets = self._subsets[: self._shard_position]
+        return sum(backend in subset for subset in previous_subsets) * self.shard_count + self.shard
 
     def assign(self) -> Assignment:
         """Compute the subsets of all gateways of this shard."""
@@ -181,17 +181,17 @@
         gateways = self.shard_gateways
         subsets: list[list[int]] = [[] for _ in range(gateways)]
         gateway_counts = {}
-        free_places = [max_size] * gateways
-        shift = self.shard / self.shard_count  # so that the shards round differently
+        free_slots = [max_size] * gateways
+        shard_offset = self.shard / self.shard_count  # so that the shards round differently
         for _, backend, first_gateway, step, fraction in self.ready:
-            wanted = min(gateways, int(mean_gateways + (fraction + shift) % 1))
+            wanted = min(gateways, int(mean_gateways + (fraction + shard_offset) % 1))
             missing = wanted
             gateway = first_gateway
             for _ in range(gateways):
                 if not missing:
                     break
-                if free_places[gateway]:
-                    free_places[gateway] -= 1
+                if free_slots[gateway]:
+                    free_slots[gateway] -= 1
                     subsets[gateway].append(backend)
                     missing -= 1
                 gateway = (gateway + step) % gateways
--- a/tests/policy/test_connection_rules.py
+++ b/tests/policy/test_connection_rules.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("keep_alive", "draining", "more_requests", "last"),
+    ("keep_alive", "draining", "has_pending_requests", "last"),
     [
         (True, False, False, False),
         (False, False, False, True),
@@ -38,6 +38,6 @@
     ],
 )
 def test_the_last_response_is_the_clients_choice_or_the_last_of_a_drain(
-    keep_alive: bool, draining: bool, more_requests: bool, last: bool
+    keep_alive: bool, draining: bool, has_pending_requests: bool, last: bool
 ) -> None:
-    assert is_last_response(keep_alive, draining, more_requests) is last
+    assert is_last_response(keep_alive, draining, has_pending_requests) is last
--- a/tests/policy/test_fleet_scale.py
+++ b/tests/policy/test_fleet_scale.py
@@ -86,14 +86,17 @@
     to_faulty = Counter[int]()
     for number in range(1200):
         now = START_MS + number * 50
-        cls = number % 2
-        for send in actions_of_type(g.handle(now, request_arrived(number, cls)), Send):
+        class_index = number % 2
+        for send in actions_of_type(g.handle(now, request_arrived(number, class_index)), Send):
             faulty = send.backend == 1
             if faulty and number > 100:
-                to_faulty[cls] += 1
-            outcome = Outcome.ERROR if faulty and cls == failing else Outcome.OK
+                to_faulty[class_index] += 1
+            outcome = Outcome.ERROR if faulty and class_index == failing else Outcome.OK
             g.handle(
-                now, attempt_ended(number, send.backend, outcome, elapsed_ms=150.0 + 150.0 * cls)
+                now,
+                attempt_ended(
+                    number, send.backend, outcome, elapsed_ms=150.0 + 150.0 * class_index
+                ),
             )
     assert to_faulty[failing] < 40  # of 550, a fifth of which would be 110
     assert to_faulty[other] > 60
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -35,7 +35,7 @@
 }
 IDEMPOTENT, WITH_KEY, NOT_IDEMPOTENT = range(3)
 
-hedged_classes = pytest.mark.parametrize("cls", [IDEMPOTENT, WITH_KEY])
+hedged_classes = pytest.mark.parametrize("class_index", [IDEMPOTENT, WITH_KEY])
 
 
 class Overdue(NamedTuple):
@@ -46,8 +46,8 @@
     now: float
 
 
-def start(g: Gateway, number: int, cls: int, now: float = START_MS) -> Overdue:
-    first, timer = g.handle(now, request_arrived(number, cls))
+def start(g: Gateway, number: int, class_index: int, now: float = START_MS) -> Overdue:
+    first, timer = g.handle(now, request_arrived(number, class_index))
     assert isinstance(first, Send)
     assert isinstance(timer, SetTimer)
     return Overdue(first, timer, now + timer.after_ms)
@@ -61,9 +61,9 @@
 
 
 @hedged_classes
-def test_hedged_request_goes_elsewhere_and_its_response_cancels_the_first(cls: int) -> None:
+def test_hedged_request_goes_elsewhere_and_its_response_cancels_the_first(class_index: int) -> None:
     g = gateway(**HEDGING)
-    overdue = start(g, 1, cls)
+    overdue = start(g, 1, class_index)
     second = hedge(g, overdue)
     assert second.backend != overdue.first.backend
     later = overdue.now + 50
@@ -87,10 +87,10 @@
 
 
 @hedged_classes
-def test_request_is_rejected_only_once_no_attempt_is_in_flight(cls: int) -> None:
+def test_request_is_rejected_only_once_no_attempt_is_in_flight(class_index: int) -> None:
     """Rule 2: what is in flight may still run, and a rejection would promise that it won't."""
     g = gateway(1, 2, **HEDGING)
-    overdue = start(g, 1, cls)
+    overdue = start(g, 1, class_index)
     second = hedge(g, overdue)
     g.retries.retry_tokens = 0.0
     reset = attempt_ended(1, second.backend, Outcome.RESET, attempt=1, elapsed_ms=10)
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -24,30 +24,30 @@
 NEVER_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED)
 
 
-def first_send(g: Gateway, number: int, cls: int, now: float = START_MS) -> Send:
-    return only_action(Send, g.handle(now, request_arrived(number, cls)))
+def first_send(g: Gateway, number: int, class_index: int, now: float = START_MS) -> Send:
+    return only_action(Send, g.handle(now, request_arrived(number, class_index)))
 
 
 @pytest.mark.parametrize("outcome", POSSIBLY_EXECUTED + NEVER_EXECUTED)
-@pytest.mark.parametrize("cls", [IDEMPOTENT, KEY_IN_CELL, KEY_ANYWHERE, NOT_IDEMPOTENT])
+@pytest.mark.parametrize("class_index", [IDEMPOTENT, KEY_IN_CELL, KEY_ANYWHERE, NOT_IDEMPOTENT])
 def test_retry_follows_idempotency_and_whether_the_attempt_can_have_run(
-    cls: int, outcome: Outcome
+    class_index: int, outcome: Outcome
 ) -> None:
     g = gateway()
-    send = first_send(g, 1, cls)
+    send = first_send(g, 1, class_index)
     (action,) = g.handle(START_MS + 50, attempt_ended(1, send.backend, outcome))
-    if cls == NOT_IDEMPOTENT and outcome in POSSIBLY_EXECUTED:
+    if class_index == NOT_IDEMPOTENT and outcome in POSSIBLY_EXECUTED:
         assert isinstance(action, Fail)
         return
     assert isinstance(action, Send)
-    if cls == KEY_IN_CELL and outcome in POSSIBLY_EXECUTED:
+    if class_index == KEY_IN_CELL and outcome in POSSIBLY_EXECUTED:
         assert action.backend % 2 == send.backend % 2  # its cell
     else:
         assert action.backend != send.backend
 
 
 @pytest.mark.parametrize(
-    ("cls", "kind"),
+    ("class_index", "kind"),
     [
         (KEY_IN_CELL, Fail),
         (KEY_ANYWHERE, Reject),
@@ -56,10 +56,10 @@
     ],
 )
 def test_nothing_is_retried_past_the_window_and_no_rejection_promises_too_much(
-    cls: int, kind: type[Action]
+    class_index: int, kind: type[Action]
 ) -> None:
-    g = gateway(max_attempts=3 if cls in (KEY_IN_CELL, KEY_ANYWHERE) else 1)
-    send = first_send(g, 1, cls)
+    g = gateway(max_attempts=3 if class_index in (KEY_IN_CELL, KEY_ANYWHERE) else 1)
+    send = first_send(g, 1, class_index)
     (action,) = g.handle(
         START_MS + 3000, attempt_ended(1, send.backend, Outcome.RESET, elapsed_ms=3000)
     )
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -40,7 +40,7 @@
     request_arrived,
     settings,
 )
-from tests.support.rule_checker import Handler, RuleBrokenError, RuleChecker
+from tests.support.rule_checker import Handler, RuleChecker, RuleViolationError
 
 PLANS = (Plan(20, 30, ceiling_rate=20, ceiling_burst=30),)
 
@@ -165,7 +165,7 @@
         for tracked in self.checker.requests.values():
             tracked.concluded = True
         self.checker.handle = self.restart_gateway()
-        ready = [n for n in self.checker.listed if n not in self.checker.draining_since]
+        ready = [n for n in self.checker.locations if n not in self.checker.draining_since]
         self.checker.feed(self.now, endpoint_list_update(*ready, kind=UpdateKind.CACHED))
 
 
@@ -267,7 +267,7 @@
         ("ask", 0, 300),
         ("end", 7, 1),
     ]
-    with pytest.raises(RuleBrokenError):
+    with pytest.raises(RuleViolationError):
         player.play(steps)
 
 
@@ -281,5 +281,5 @@
         for number in range(30):
             checker.feed(START_MS, request_arrived(number))
 
-    with pytest.raises(RuleBrokenError, match="ceiling"):
+    with pytest.raises(RuleViolationError, match="ceiling"):
         pass_the_ceiling()
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -44,13 +44,14 @@
     name: str, seed: int
 ) -> None:
     simulation = FleetSimulation(SCENARIOS[name], seed).run()
-    fullest = simulation.fullest_window()
-    fullest_by_work = simulation.fullest_window(lambda job: job.work)
-    use = [server.use(simulation.end) for server in simulation.cold]
+    fullest = simulation.peak_window_load()
+    fullest_by_work = simulation.peak_window_load(lambda request: request.actual_work)
+    use = [server.utilization(simulation.end) for server in simulation.cold]
     print(
         f"{name}, seed {seed}: fullest window {fullest:.2f} of what is allowed "
         f"({fullest_by_work:.2f} by actual work), use {min(use):.2f} to {max(use):.2f}, "
-        f"served {simulation.served / simulation.offered:.2f} of {simulation.offered}"
+        f"served {simulation.requests_served / simulation.requests_sent:.2f} "
+        f"of {simulation.requests_sent}"
     )
     assert fullest <= 1
     assert min(use) >= MIN_USE
@@ -59,7 +60,7 @@
 def test_simulation_overloads_backends_whose_start_is_hidden() -> None:
     """The bound can be broken: the same simulation, with entries that say 'up since long ago'."""
     scenario = SCENARIOS["200 gateways, 3 of 30 cold"]
-    assert FleetSimulation(scenario, 1, hide_start=True).run().fullest_window() > 1
+    assert FleetSimulation(scenario, 1, hide_start=True).run().peak_window_load() > 1
 
 
 @pytest.mark.parametrize("name", ["200 gateways, 3 of 30 cold", "20 gateways, 2 of 20 cold"])
@@ -67,7 +68,7 @@
     name: str,
 ) -> None:
     """The bound is one on the sum: each gateway knows the start, and uses the whole budget."""
-    assert FleetSimulation(SCENARIOS[name], 1, gateways=1, index=0).run().fullest_window() > 1
+    assert FleetSimulation(SCENARIOS[name], 1, gateways=1, index=0).run().peak_window_load() > 1
 
 
 def test_cold_backend_gets_its_part_in_any_window() -> None:
--- a/tests/policy/test_slow_start_property.py
+++ b/tests/policy/test_slow_start_property.py
@@ -39,8 +39,8 @@
         overload_factor=random.choice((1.3, 2.0, 2.5)),
         overload_window_ms=random.choice((500.0, 1000.0, 3000.0, 10_000.0)),
         cores=random.choice((1, 1, 2, 3)),
-        late=random.choice((0.0, 0.2, 0.5, 1.0)),
-        late_take_it_for_warm=True,
+        late_fraction=random.choice((0.0, 0.2, 0.5, 1.0)),
+        late_gateways_assume_warm=True,
         reports=random.random() < 0.5,
     )
     if random.random() < 0.3:
@@ -53,7 +53,7 @@
 def test_notified_gateways_leave_a_third_of_what_a_starting_backend_bears(seed: int) -> None:
     scenario = draw_scenario(seed)
     simulation = FleetSimulation(scenario, seed).run()
-    fullest = max(server.fullest_window_of_notified() for server in simulation.cold)
+    fullest = max(backend.peak_notified_window_load() for backend in simulation.cold)
     print(f"{scenario}: fullest window {fullest:.2f} of what it bears")
     assert fullest <= NOTIFIED_FRACTION
 
@@ -62,9 +62,9 @@
 def test_a_fleet_of_gateways_that_each_believe_to_be_the_only_one_breaks_the_bound(
     seed: int,
 ) -> None:
-    scenario = Scenario(30, 6, 2, 1.6, cores=1, late=0.0, overload_factor=1.3)
+    scenario = Scenario(30, 6, 2, 1.6, cores=1, late_fraction=0.0, overload_factor=1.3)
     simulation = FleetSimulation(scenario, seed, gateways=1, index=0).run()
-    fullest = max(server.fullest_window_of_notified() for server in simulation.cold)
+    fullest = max(backend.peak_notified_window_load() for backend in simulation.cold)
     assert fullest > NOTIFIED_FRACTION
 
 
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -30,9 +30,9 @@
     LARGE_UNITS,
     MEAN_MS,
     UNIT_MS,
-    Job,
     Scenario,
-    Server,
+    SimulatedBackend,
+    SimulatedRequest,
 )
 
 CLASSES = (
@@ -63,22 +63,23 @@
         self.scenario = scenario
         self.random = Random(seed)
         self.now = START_MS
-        self.cold_start = START_MS + scenario.warm_up_ms
-        self.end = self.cold_start + scenario.slow_start_ms
+        self.cold_start_at = START_MS + scenario.learning_ms
+        self.end = self.cold_start_at + scenario.slow_start_ms
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.event_order = count()
         self.request_numbers = count(1)
         self.notified_at = [inf] * scenario.gateways  # of the start
-        self.pending: dict[int, Job] = {}
-        self.offered = 0
-        self.served = 0
+        self.pending: dict[int, SimulatedRequest] = {}
+        self.requests_sent = 0
+        self.requests_served = 0
         names = self.random.sample(range(1, 10_000), scenario.backends)
-        self.servers = {
-            name: Server(name, scenario, self.random.uniform(0.85, 1.15)) for name in names
+        self.backend_by_name = {
+            name: SimulatedBackend(name, scenario, self.random.uniform(0.85, 1.15))
+            for name in names
         }
-        self.cold = [self.servers[name] for name in names[: scenario.cold]]
+        self.cold = [self.backend_by_name[name] for name in names[: scenario.cold]]
         warm = names[scenario.cold :]
-        warm_speed = sum(self.servers[name].speed for name in warm)
+        warm_speed = sum(self.backend_by_name[name].speed for name in warm)
         self.mean_gap_ms = MEAN_MS / scenario.cores / scenario.load / warm_speed
         self.gateways = [
             Gateway(self._settings(index, shown_settings), self.random.getrandbits(32))
@@ -91,10 +92,10 @@
             warm=warm,
             new=names[: scenario.cold : 2],
             returning=names[1 : scenario.cold : 2],
-            up_since=0.0 if hide_start else self.cold_start,
+            up_since=0.0 if hide_start else self.cold_start_at,
         )
-        for server in self.cold:
-            self._schedule(self.cold_start, server.start, self.cold_start)
+        for backend in self.cold:
+            self._schedule(self.cold_start_at, backend.start, self.cold_start_at)
         self._schedule(START_MS, self._arrive)
 
     def run(self) -> FleetSimulation:
@@ -106,13 +107,15 @@
             action(*args)
         raise AssertionError("a simulation without an end")
 
-    def fullest_window(self, weight: Callable[[Job], float] = lambda job: job.size) -> float:
+    def peak_window_load(
+        self, weight: Callable[[SimulatedRequest], float] = lambda request: request.expected_work
+    ) -> float:
         """Return the fullest window of all cold backends, relative to what is allowed.
 
         A request weighs what its class and units let expect. The actual work is not counted: nobody
         can know it before, and one large request may exceed all that is allowed.
         """
-        return max(server.fullest_window(weight) for server in self.cold)
+        return max(backend.peak_window_load(weight) for backend in self.cold)
 
     def _settings(self, index: int, shown_settings: dict[str, Any]) -> Any:
         scenario = self.scenario
@@ -147,17 +150,17 @@
         started = [Endpoint(n, up_since_ms=up_since) for n in [*new, *returning]]
         changes = EndpointListUpdate(UpdateKind.CHANGES, started)
         full = EndpointListUpdate(UpdateKind.FULL, [*started, *(Endpoint(n) for n in warm)])
-        warm_up_ms = self.scenario.warm_up_ms
+        learning_ms = self.scenario.learning_ms
         for index in range(self.scenario.gateways):
             self._schedule(START_MS, self._handle, index, first)
-            late = self.random.random() < self.scenario.late
-            if not (late and self.scenario.late_take_it_for_warm):
-                self._schedule(START_MS + warm_up_ms * 0.5, self._handle, index, drained)
-                self._schedule(START_MS + warm_up_ms * 0.9, self._handle, index, gone)
+            late = self.random.random() < self.scenario.late_fraction
+            if not (late and self.scenario.late_gateways_assume_warm):
+                self._schedule(START_MS + learning_ms * 0.5, self._handle, index, drained)
+                self._schedule(START_MS + learning_ms * 0.9, self._handle, index, gone)
             delay = self.random.uniform(1000, 2500) if late else self.random.uniform(50, 600)
-            self.notified_at[index] = self.cold_start + delay
+            self.notified_at[index] = self.cold_start_at + delay
             started_list = full if index % 2 else changes
-            self._schedule(self.cold_start + delay, self._handle, index, started_list)
+            self._schedule(self.cold_start_at + delay, self._handle, index, started_list)
 
     def _schedule(self, when: float, action: Callable[..., None], *args: Any) -> None:
         heappush(self.heap, (when, next(self.event_order), action, args))
@@ -166,21 +169,23 @@
         """Let a client send to one of the gateways, and draw the next client."""
         self._schedule(self.now + self.random.expovariate(1 / self.mean_gap_ms), self._arrive)
         number = next(self.request_numbers)
-        cls = self.random.randrange(len(CLASSES))
+        class_index = self.random.randrange(len(CLASSES))
         (gateway,) = self.random.choices(
             range(len(self.gateways)), cum_weights=self.cumulative_shares
         )
         units = LARGE_UNITS if self.random.random() < LARGE_FRACTION else 1.0
-        size = UNIT_MS[cls] * units / MEAN_MS
-        work = size * self.random.gammavariate(WORK_SHAPE, 1 / WORK_SHAPE)
-        job = Job(number, gateway, size, work)
-        self.pending[number] = job
-        self.offered += 1
-        deadline_ms = CLASSES[cls].deadline_ms
-        self._schedule(self.now + deadline_ms, self._time_out, job)
+        expected_work = UNIT_MS[class_index] * units / MEAN_MS
+        actual_work = expected_work * self.random.gammavariate(WORK_SHAPE, 1 / WORK_SHAPE)
+        request = SimulatedRequest(number, gateway, expected_work, actual_work)
+        self.pending[number] = request
+        self.requests_sent += 1
+        deadline_ms = CLASSES[class_index].deadline_ms
+        self._schedule(self.now + deadline_ms, self._time_out, request)
         self._handle(
             gateway,
-            request_arrived(number, cls, number % 997, units=units, time_left_ms=deadline_ms),
+            request_arrived(
+                number, class_index, number % 997, units=units, time_left_ms=deadline_ms
+            ),
         )
 
     def _handle(self, gateway: int, event: Event) -> None:
@@ -188,64 +193,72 @@
         for action in self.gateways[gateway].handle(self.now, event):
             match action:
                 case Send(number, backend):
-                    job = self.pending[number]
-                    job.attempts += 1
-                    job.backend = backend
-                    job.sent_at = self.now
-                    job.notified = self.now >= self.notified_at[gateway]
+                    request = self.pending[number]
+                    request.attempts += 1
+                    request.backend = backend
+                    request.sent_at = self.now
+                    request.notified = self.now >= self.notified_at[gateway]
                     network_ms = NETWORK_MS * self.random.uniform(0.5, 1.5)
-                    self._schedule(self.now + network_ms, self._reach, self.servers[backend], job)
+                    self._schedule(
+                        self.now + network_ms, self._receive, self.backend_by_name[backend], request
+                    )
                 case Reject(number) | Fail(number):
                     del self.pending[number]
                 case _:
                     raise AssertionError(f"not allowed by these settings: {action}")
 
-    def _reach(self, server: Server, job: Job) -> None:
+    def _receive(self, backend: SimulatedBackend, request: SimulatedRequest) -> None:
         """Let an attempt arrive; it counts whether or not it is admitted."""
-        server.arrivals.append((self.now, job))
-        if server.busy < self.scenario.cores or not self.scenario.queues:
-            self._begin_work(server, job)
-        elif len(server.queue) < QUEUE_PER_CORE * self.scenario.cores:
-            server.queue.append(job)
+        backend.arrivals.append((self.now, request))
+        if backend.busy_cores < self.scenario.cores or not self.scenario.queues:
+            self._begin_work(backend, request)
+        elif len(backend.queue) < QUEUE_PER_CORE * self.scenario.cores:
+            backend.queue.append(request)
         else:
-            self._schedule(self.now + NETWORK_MS, self._respond, server, job, Outcome.REJECTED)
+            self._schedule(self.now + NETWORK_MS, self._respond, backend, request, Outcome.REJECTED)
 
-    def _begin_work(self, server: Server, job: Job) -> None:
-        server.occupy(self.now, 1)
-        work_ms = job.work * self.scenario.cores / server.throughput(self.now)
-        self._schedule(self.now + work_ms, self._finish_work, server, job)
+    def _begin_work(self, backend: SimulatedBackend, request: SimulatedRequest) -> None:
+        backend.change_busy_cores(self.now, 1)
+        work_ms = request.actual_work * self.scenario.cores / backend.throughput(self.now)
+        self._schedule(self.now + work_ms, self._finish_work, backend, request)
 
-    def _finish_work(self, server: Server, job: Job) -> None:
-        server.occupy(self.now, -1)
-        server.served += 1
-        if server.queue:
-            self._begin_work(server, server.queue.popleft())
-        self._schedule(self.now + NETWORK_MS, self._respond, server, job, Outcome.OK)
+    def _finish_work(self, backend: SimulatedBackend, request: SimulatedRequest) -> None:
+        backend.change_busy_cores(self.now, -1)
+        backend.requests_served += 1
+        if backend.queue:
+            self._begin_work(backend, backend.queue.popleft())
+        self._schedule(self.now + NETWORK_MS, self._respond, backend, request, Outcome.OK)
 
-    def _respond(self, server: Server, job: Job, outcome: Outcome) -> None:
+    def _respond(
+        self, backend: SimulatedBackend, request: SimulatedRequest, outcome: Outcome
+    ) -> None:
         """Send a response with a load report, unless the client has given up."""
-        if job.number in self.pending:
-            self.served += outcome is Outcome.OK
+        if request.number in self.pending:
+            self.requests_served += outcome is Outcome.OK
             error_factor = self.random.uniform(1 - REPORT_ERROR, 1 + REPORT_ERROR)
-            report = server.load_report(self.now, error_factor) if self.scenario.reports else ()
-            self._end_attempt(job, outcome, outcome is Outcome.OK, report)
+            report = backend.load_report(self.now, error_factor) if self.scenario.reports else ()
+            self._end_attempt(request, outcome, outcome is Outcome.OK, report)
 
-    def _time_out(self, job: Job) -> None:
-        if job.number in self.pending:
-            self._end_attempt(job, Outcome.TIMEOUT, True, ())
+    def _time_out(self, request: SimulatedRequest) -> None:
+        if request.number in self.pending:
+            self._end_attempt(request, Outcome.TIMEOUT, True, ())
 
     def _end_attempt(
-        self, job: Job, outcome: Outcome, concluded: bool, report: tuple[float, ...]
+        self,
+        request: SimulatedRequest,
+        outcome: Outcome,
+        concluded: bool,
+        report: tuple[float, ...],
     ) -> None:
         if concluded:
-            del self.pending[job.number]
+            del self.pending[request.number]
         ended = AttemptEnded(
-            job.number,
-            job.attempts - 1,
-            job.backend,
+            request.number,
+            request.attempts - 1,
+            request.backend,
             outcome,
-            self.now - job.sent_at,
+            self.now - request.sent_at,
             concluded,
             report=report,
         )
-        self._handle(job.gateway, ended)
+        self._handle(request.gateway, ended)
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -28,7 +28,7 @@
 Handler = Callable[[float, Event], list[Action]]
 
 
-class RuleBrokenError(AssertionError):
+class RuleViolationError(AssertionError):
     """What was broken and where."""
 
 
@@ -64,25 +64,27 @@
     @property
     def may_be_rejected(self) -> bool:
         """Whether a client may be told to repeat the request."""
-        of_class = self.request_class
-        if not self.possibly_executed or of_class.idempotency is Idempotency.IDEMPOTENT:
+        request_class = self.request_class
+        if not self.possibly_executed or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         return (
-            of_class.idempotency is Idempotency.IDEMPOTENCY_KEY
-            and of_class.deduplication_scope is DeduplicationScope.ALL
+            request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+            and request_class.deduplication_scope is DeduplicationScope.ALL
         )
 
 
 class RuleChecker:
-    """Feeds one gateway, and raises RuleBrokenError as soon as an action breaks a rule."""
+    """Feeds one gateway, and raises RuleViolationError as soon as an action breaks a rule."""
 
     def __init__(self, handle: Handler, settings: Settings) -> None:
         self.handle = handle
         self.settings = settings
         self.requests: dict[int, TrackedRequest] = {}
         self.draining_since: dict[int, float] = {}  # draining or gone backends
-        self.listed: dict[int, tuple[int, int]] = {}  # zone and cell of each backend ever listed
-        self.ceilings: dict[int, tuple[float, float]] = {}  # by customer: when, and what was left
+        self.locations: dict[int, tuple[int, int]] = {}  # zone and cell of each backend ever listed
+        self.ceiling_balances: dict[
+            int, tuple[float, float]
+        ] = {}  # by customer: when, and what was left
 
     def feed(self, now: float, event: Event) -> list[Action]:
         """Hand an event to the gateway and return its actions, once they are checked."""
@@ -99,7 +101,7 @@
 
     def _require(self, kept: bool, message: str) -> None:
         if not kept:
-            raise RuleBrokenError(message)
+            raise RuleViolationError(message)
 
     def _observe(self, now: float, event: Event) -> None:
         match event:
@@ -120,11 +122,11 @@
     def _observe_list(self, now: float, update: EndpointListUpdate) -> None:
         ready = {e.backend for e in update.entries if e.state is EndpointStatus.READY}
         for entry in update.entries:
-            self.listed[entry.backend] = (entry.zone, entry.cell)
+            self.locations[entry.backend] = (entry.zone, entry.cell)
             if entry.state is not EndpointStatus.READY:
                 self.draining_since.setdefault(entry.backend, now)
         if update.kind is not UpdateKind.CHANGES:
-            for backend in self.listed.keys() - ready:
+            for backend in self.locations.keys() - ready:
                 self.draining_since.setdefault(backend, now)
         for backend in ready:
             self.draining_since.pop(backend, None)
@@ -154,7 +156,7 @@
         self._require(not in_flight or self.settings.hedging, f"{name}: two attempts at once")
         count = len(request.attempts)
         self._require(count < self.settings.max_attempts, f"{name}: too many attempts")
-        self._require(send.backend in self.listed, f"{name}: to an unknown backend")
+        self._require(send.backend in self.locations, f"{name}: to an unknown backend")
         since = self.draining_since.get(send.backend)
         self._require(
             since is None or now <= since + self.settings.drain_grace_ms,
@@ -169,25 +171,26 @@
     def _check_repeat(self, now: float, send: Send, request: TrackedRequest) -> None:
         """Check an attempt beside or after one that may have had the effect."""
         name = f"request {send.request}"
-        of_class = request.request_class
+        request_class = request.request_class
         self._require(
-            of_class.idempotency is not Idempotency.NOT_IDEMPOTENT,
+            request_class.idempotency is not Idempotency.NOT_IDEMPOTENT,
             f"{name}: not idempotent, sent again though it may have been executed",
         )
-        if of_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
+        if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
             first = request.possibly_executed[0]
             self._require(
-                now < first.sent_at + of_class.deduplication_window_ms,
+                now < first.sent_at + request_class.deduplication_window_ms,
                 f"{name}: past the window of its key",
             )
             self._require(
-                self._scope(send.backend, of_class) == self._scope(first.backend, of_class),
+                self._scope(send.backend, request_class)
+                == self._scope(first.backend, request_class),
                 f"{name}: outside the scope of its key",
             )
 
     def _scope(self, backend: int, request_class: RequestClass) -> int:
         """Return the number of the zone or cell in which the backend recognizes keys."""
-        zone, cell = self.listed[backend]
+        zone, cell = self.locations[backend]
         match request_class.deduplication_scope:
             case DeduplicationScope.ALL:
                 return 0
@@ -205,8 +208,8 @@
         if not plan.ceiling_rate:
             return
         capacity = plan.ceiling_burst / event.gateway_spread
-        checked_at, left = self.ceilings.get(event.customer, (now, capacity))
+        checked_at, left = self.ceiling_balances.get(event.customer, (now, capacity))
         refill = (now - checked_at) / 1000 * plan.ceiling_rate / event.gateway_spread
         left = min(capacity, left + refill) - event.units
         self._require(left >= -1e-6, f"customer {event.customer}: ceiling passed by {-left}")
-        self.ceilings[event.customer] = now, left
+        self.ceiling_balances[event.customer] = now, left
