--- a/sumacpost/http1.py
+++ b/sumacpost/http1.py
@@ -51,13 +51,13 @@
         "_head_size",
         "_headers",
         "_headers_done",
-        "_max_body",
+        "_max_body_bytes",
         "_on_body",
         "_parser",
     )
 
-    def __init__(self, max_body: int, on_body: Callable[[bytes], None] | None = None) -> None:
-        self._max_body = max_body
+    def __init__(self, max_body_bytes: int, on_body: Callable[[bytes], None] | None = None) -> None:
+        self._max_body_bytes = max_body_bytes
         self._on_body = on_body
         self._parser = httptools.HttpResponseParser(self)
         self._complete: Response | None = None
@@ -151,8 +151,8 @@
     def on_body(self, data: bytes) -> None:
         """Store a part of the body, or pass it to the on_body callback."""
         self._body_size += len(data)
-        if self._body_size > self._max_body:
-            raise ResponseError(f"response body: exceeds {self._max_body} bytes")
+        if self._body_size > self._max_body_bytes:
+            raise ResponseError(f"response body: exceeds {self._max_body_bytes} bytes")
         if self._on_body is None:
             self._body.append(data)
         elif self._parser.get_status_code() == HTTP_OK:
@@ -172,10 +172,10 @@
 
     def _check_content_length(self, length: bytes) -> None:
         too_long = len(length) > MAX_CONTENT_LENGTH_DIGITS
-        if not length.isdigit() or too_long or int(length) > self._max_body:
+        if not length.isdigit() or too_long or int(length) > self._max_body_bytes:
             raise ResponseError(
                 f"response body: Content-Length {length[:40]!r} is not a number"
-                f" of at most {self._max_body}"
+                f" of at most {self._max_body_bytes}"
             )
 
 
--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -102,15 +102,15 @@
 
     # Events: what happens on the sockets.
 
-    def update_endpoints(self, update: EndpointListUpdate, endpoints: AddressByBackend) -> None:
+    def update_endpoints(self, update: EndpointListUpdate, addresses: AddressByBackend) -> None:
         """Apply an endpoint list update to the gateway and to the connection pools."""
         for entry in update.entries:
             self.backends.update_endpoint(
-                entry.backend, endpoints[entry.backend], entry.up_since_ms
+                entry.backend, addresses[entry.backend], entry.up_since_ms
             )
         self._handle(update)
         self.backends.apply_update(update)
-        self.ready = self.ready or bool(endpoints)
+        self.ready = self.ready or bool(addresses)
 
     def start_request(self, request: Request, response: ResponseChannel) -> ProxiedRequest:
         """Accept a request, which gets exactly one final response before the client's deadline.
--- a/sumacpost/timer.py
+++ b/sumacpost/timer.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 READ_DELAY_S = 0.001  # enough for one iteration of the loop, which reads the sockets
-READ_TURNS = 2  # the end of a connection is read in the iteration after its last bytes
+READ_ITERATIONS = 2  # the end of a connection is read in the iteration after its last bytes
 
 
 class Timer:
@@ -28,7 +28,7 @@
         due: when the timer is due, in seconds by the event loop's clock.
     """
 
-    __slots__ = ("_args", "_callback", "_handle", "_tolerated_lateness_s", "_turns_left", "due")
+    __slots__ = ("_args", "_callback", "_handle", "_reads_left", "_tolerated_lateness_s", "due")
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._callback = callback
         self._args = args
         self._tolerated_lateness_s = tolerated_lateness_s
-        self._turns_left = READ_TURNS
+        self._reads_left = READ_ITERATIONS
         self._handle = loop.call_later(delay_s, self._fire)
 
     def cancel(self) -> None:
@@ -54,8 +54,8 @@
         skip_reads = (
             self._tolerated_lateness_s and loop.time() - self.due <= self._tolerated_lateness_s
         )
-        if self._turns_left and not skip_reads:
-            self._turns_left -= 1
+        if self._reads_left and not skip_reads:
+            self._reads_left -= 1
             self._handle = loop.call_later(READ_DELAY_S, self._fire)
             return
         self._callback(*self._args)
--- a/tests/test_blocked_event_loop.py
+++ b/tests/test_blocked_event_loop.py
@@ -37,27 +37,27 @@
 UNBOUNDED_RESPONSE = b"HTTP/1.1 200 OK\r\n\r\ndone"
 
 
-async def block_event_loop(seconds: float, during: Callable[[], None]) -> None:
-    """Block the event loop for a time, and call `during` halfway through.
+async def block_event_loop(seconds: float, midway_action: Callable[[], None]) -> None:
+    """Block the event loop for a time, and call `midway_action` halfway through.
 
     The loop is blocked while it reads its sockets, so that it runs its timers next. A process that
     is stopped while it waits for its sockets also continues with its timers.
     """
     loop = asyncio.get_running_loop()
     reading_end, writing_end = socket.socketpair()
-    over = asyncio.Event()
+    finished = asyncio.Event()
 
     def block() -> None:
         loop.remove_reader(reading_end)
         time.sleep(seconds / 2)
-        during()
+        midway_action()
         time.sleep(seconds / 2)
-        over.set()
+        finished.set()
 
     with reading_end, writing_end:
         loop.add_reader(reading_end, block)
         writing_end.send(b"x")
-        await over.wait()
+        await finished.wait()
 
 
 def write(peer: Peer, data: bytes, close: bool = False) -> Callable[[], None]:
@@ -107,9 +107,9 @@
             client = await ingress.client()
             client.write(request("ledger-read", Request_Timeout=LONG_TIMEOUT))
             await ingress.wait_for_requests(1)
-            (asked,) = [peer for peer in ingress.backends if peer.requests]
+            (contacted,) = [peer for peer in ingress.backends if peer.requests]
             (pending,) = ingress.bridge._pending.values()
-            await block_event_loop(overdue_after_s(ingress) + 0.1, write(asked, OK_RESPONSE))
+            await block_event_loop(overdue_after_s(ingress) + 0.1, write(contacted, OK_RESPONSE))
             assert (await client.read_response()).status == 200
             assert len(pending.attempts) == 1
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def reader() -> ResponseReader:
-    return ResponseReader(max_body=16)
+    return ResponseReader(max_body_bytes=16)
 
 
 def test_a_response_may_come_byte_by_byte(reader: ResponseReader) -> None:
@@ -93,7 +93,7 @@
 
 def test_the_parts_of_a_200_body_are_passed_to_the_callback() -> None:
     pieces: list[bytes] = []
-    reader = ResponseReader(max_body=16, on_body=pieces.append)
+    reader = ResponseReader(max_body_bytes=16, on_body=pieces.append)
     assert reader.feed(RESPONSE[:-2]) is None
     response = reader.feed(RESPONSE[-2:])
     assert response is not None
@@ -103,7 +103,7 @@
 
 def test_the_body_of_an_error_response_is_not_passed_to_the_callback() -> None:
     pieces: list[bytes] = []
-    reader = ResponseReader(max_body=16, on_body=pieces.append)
+    reader = ResponseReader(max_body_bytes=16, on_body=pieces.append)
     assert reader.feed(RESPONSE.replace(b"200 OK", b"500 NO")) is not None
     assert pieces == []
 
@@ -112,6 +112,6 @@
     def reject(_: bytes) -> None:
         raise ValueError("not a list")
 
-    reader = ResponseReader(max_body=16, on_body=reject)
+    reader = ResponseReader(max_body_bytes=16, on_body=reject)
     with pytest.raises(ResponseError, match="not a list"):
         reader.feed(RESPONSE)
