--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The bounded reader of HTTP/1.1 responses, fed directly."""
+"""The HTTP/1.1 response reader with size limits, fed with bytes directly."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def reader() -> ResponseReader:
-    return ResponseReader(max_body=16)
+    return ResponseReader(max_body_bytes=16)
 
 
 def test_a_response_may_come_byte_by_byte(reader: ResponseReader) -> None:
@@ -37,7 +37,7 @@
     interim = b"HTTP/1.1 100 Continue\r\n\r\n"
     for _ in range(MAX_HEAD_BYTES // len(interim)):
         assert reader.feed(interim) is None
-    with pytest.raises(ResponseError, match="a head of over"):
+    with pytest.raises(ResponseError, match="response head exceeds"):
         reader.feed(interim)
 
 
@@ -49,8 +49,8 @@
         b"11\r\nseventeen letters\r\n0\r\n\r\n",
     ],
 )
-def test_a_body_beyond_the_bound_is_an_error(reader: ResponseReader, response: bytes) -> None:
-    with pytest.raises(ResponseError, match="a body of"):
+def test_a_body_above_the_limit_is_an_error(reader: ResponseReader, response: bytes) -> None:
+    with pytest.raises(ResponseError, match="response body: "):
         reader.feed(response)
 
 
@@ -87,13 +87,13 @@
 
 def test_a_body_without_a_length_is_bounded(reader: ResponseReader) -> None:
     reader.feed(UNBOUNDED + b"x" * 16)
-    with pytest.raises(ResponseError, match="a body of"):
+    with pytest.raises(ResponseError, match="response body: exceeds"):
         reader.feed(b"x")
 
 
 def test_the_parts_of_a_200_body_are_passed_to_the_callback() -> None:
     pieces: list[bytes] = []
-    reader = ResponseReader(max_body=16, on_body=pieces.append)
+    reader = ResponseReader(max_body_bytes=16, on_body=pieces.append)
     assert reader.feed(RESPONSE[:-2]) is None
     response = reader.feed(RESPONSE[-2:])
     assert response is not None
@@ -103,7 +103,7 @@
 
 def test_the_body_of_an_error_response_is_not_passed_to_the_callback() -> None:
     pieces: list[bytes] = []
-    reader = ResponseReader(max_body=16, on_body=pieces.append)
+    reader = ResponseReader(max_body_bytes=16, on_body=pieces.append)
     assert reader.feed(RESPONSE.replace(b"200 OK", b"500 NO")) is not None
     assert pieces == []
 
@@ -112,6 +112,6 @@
     def reject(_: bytes) -> None:
         raise ValueError("not a list")
 
-    reader = ResponseReader(max_body=16, on_body=reject)
+    reader = ResponseReader(max_body_bytes=16, on_body=reject)
     with pytest.raises(ResponseError, match="not a list"):
         reader.feed(RESPONSE)
