--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -1,9 +1,9 @@
-"""No attempt starts once its client has gone, wherever its request waits and however busy the loop.
+"""No attempt starts after its client has disconnected, wherever the request is waiting.
 
-Each test blocks the loop while the client leaves and while what would start the attempt becomes
-ready, so that both meet in one turn of it: an attempt that starts then starts more than 0.1 s after
-the client left. The same step with a client that stays shows each time that the attempt would have
-started.
+Each test blocks the event loop while the client disconnects and while the event that would start
+the attempt becomes ready, so that the loop handles both in one iteration. An attempt that starts in
+that iteration starts more than 0.1 s after the disconnect. The same step with a client that stays
+connected shows that the attempt would otherwise have started.
 """
 
 from __future__ import annotations
@@ -41,13 +41,13 @@
 either_order = pytest.mark.parametrize("client_first", [True, False])
 
 
-# ---- waiting for the counter
+# ---- requests waiting for the counter
 
 
 @each_way_to_leave
 @either_order
 @pytest.mark.parametrize("event", ["it grants", "it is lost"])
-def test_counter_reply_starts_no_attempt_for_a_client_that_left_in_that_turn(
+def test_counter_reply_starts_no_attempt_for_a_client_that_left_in_the_same_iteration(
     how: str, client_first: bool, event: str
 ) -> None:
     run(check_counter_event(how, client_first, event))
@@ -55,7 +55,11 @@
 
 @each_way_to_leave
 def test_counter_timeout_starts_no_attempt_for_a_client_that_left(how: str) -> None:
-    """The time-out is a timer, which a late turn of the loop runs before it polls any socket."""
+    """Timers of a delayed loop iteration run before sockets are polled.
+
+    The counter time-out is such a timer, so it could start an attempt before the loop detects that
+    the client has disconnected.
+    """
     run(check_counter_event(how, True, "it is silent"))
 
 
@@ -65,7 +69,7 @@
 
     async def count(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
         nonlocal total
-        total += float(call.split()[2])  # else the gateway would correct it
+        total += float(call.split()[2])  # with another total the gateway would send a correction
         if not withholding:
             writer.write(reply())
 
@@ -73,7 +77,7 @@
         text = b"%.6f" % total
         return b"$%d\r\n%b\r\n" % (len(text), text)
 
-    # The ingress waits four times as long as the settings say.
+    # The ingress waits four times as long as configured.
     timeout_ms = 250.0 if event == "it is silent" else 4000.0
     settings = {"extra": SETTINGS["extra"] | {"count_wait": timeout_ms}}
     async with ingress_with_idle_connections(1, counter=count, settings=settings) as ingress:
@@ -97,18 +101,18 @@
         await until(lambda: len(ingress.counter.requests) > calls_before)
         assert not attempted_backends(ingress)
         writer = ingress.counter.writers[0]
-        happen = {
+        trigger_event = {
             "it grants": lambda: write_immediately(writer, reply()),
             "it is lost": lambda: shut_down_immediately(writer),
             "it is silent": lambda: None,
         }[event]
         withholding = False
         blocked_s = 1.1 if event == "it is silent" else BLOCKED_S
-        disconnect_during(happen, client, how, client_first, blocked_s)
+        disconnect_during(trigger_event, client, how, client_first, blocked_s)
         await expect_attempt_only_if_client_stays(ingress, how, 0)
 
 
-# ---- waiting for a retry or a hedged request
+# ---- requests waiting for a retry or a hedged request
 
 
 @each_way_to_leave
@@ -123,26 +127,26 @@
             client.write(slow_request())
             await until_attempted(ingress)
             (writer,) = attempted_backends(ingress)[0].writers
-            happen = {
+            trigger_event = {
                 "rejected": lambda: write_immediately(writer, NOT_STARTED),
                 "malformed": lambda: write_immediately(
                     writer, b"noise that is no response\r\n\r\n"
                 ),
                 "closed": lambda: shut_down_immediately(writer),
             }[event]
-            disconnect_during(happen, client, how, client_first)
+            disconnect_during(trigger_event, client, how, client_first)
             await expect_attempt_only_if_client_stays(ingress, how, 1)
 
     run(test())
 
 
 def early_hedging() -> dict[str, Any]:
-    """Return settings by which a hedged request follows within a second or so."""
+    """Return settings with which a hedged request follows after about a second at most."""
     return {"categories": [c | {"aim": 500.0} for c in SETTINGS["categories"]]}
 
 
 def seconds_until_hedging(ingress: RunningIngress) -> float:
-    """Return when the one attempt in flight is surely overdue, in seconds from now."""
+    """Return the seconds from now until the only attempt in flight is certainly overdue."""
     bridge = ingress.bridge
     backends = bridge._gateway.endpoints.backends.values()
     (overdue_at,) = [sent.overdue_at for b in backends for sent in b.in_flight.values()]
@@ -150,11 +154,15 @@
 
 
 @each_way_to_leave
-@pytest.mark.parametrize("late", [True, False])
+@pytest.mark.parametrize("timer_due", [True, False])
 def test_no_hedged_request_follows_for_a_client_that_left_before_its_timer(
-    how: str, late: bool
+    how: str, timer_due: bool
 ) -> None:
-    """A late turn of the loop runs timers before it polls any socket."""
+    """Timers of a delayed loop iteration run before sockets are polled.
+
+    The hedging timer could therefore start an attempt before the loop detects that the client has
+    disconnected.
+    """
 
     async def test() -> None:
         async with ingress_with_idle_connections(settings=early_hedging()) as ingress:
@@ -162,7 +170,7 @@
             client.write(slow_request())
             await until_attempted(ingress)
             wait_s = seconds_until_hedging(ingress)
-            if late:  # the client leaves when the timer is due already
+            if timer_due:  # the client disconnects after the timer has become due
                 time.sleep(wait_s)
                 wait_s = BLOCKED_S
             disconnect_during(lambda: None, client, how, True, wait_s)
@@ -171,27 +179,30 @@
     run(test())
 
 
-# ---- waiting for a connection
+# ---- requests waiting for a backend connection
 
 
 class ConnectionHook:
-    """Runs a callback once, at one moment of the opening of a connection to a backend."""
+    """Runs a callback once, at one step of opening a connection to a backend.
 
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, moment: str) -> None:
+    step: "connected" when the socket is connected, "ready" when the transport has been created.
+    """
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch, step: str) -> None:
         self.callback: Callable[[], None] | None = None
         original_init = BackendConnection.__init__
         original_connection_made = BackendConnection.connection_made
 
         def init(connection: BackendConnection, pool: ConnectionPool, sock: socket.socket) -> None:
             original_init(connection, pool, sock)
-            if moment == "connected":
+            if step == "connected":
                 self._run()
 
         def connection_made(
             connection: BackendConnection, transport: asyncio.BaseTransport
         ) -> None:
             original_connection_made(connection, transport)
-            if moment == "ready":
+            if step == "ready":
                 self._run()
 
         monkeypatch.setattr(BackendConnection, "__init__", init)
@@ -205,13 +216,16 @@
 
 
 @each_way_to_leave
-@pytest.mark.parametrize("moment", ["connected", "ready"])
+@pytest.mark.parametrize("step", ["connected", "ready"])
 @pytest.mark.parametrize("which", ["first", "retry", "hedged"])
 def test_connection_opened_as_its_client_leaves_carries_no_attempt(
-    how: str, moment: str, which: str, monkeypatch: pytest.MonkeyPatch
+    how: str, step: str, which: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An attempt starts with its bytes, a turn of the loop or two after the connection."""
-    hook = ConnectionHook(monkeypatch, moment)
+    """An attempt's bytes are written one or two loop iterations after the socket is connected.
+
+    The client may disconnect in between.
+    """
+    hook = ConnectionHook(monkeypatch, step)
 
     async def test() -> None:
         async with ingress_with_idle_connections(settings=early_hedging()) as ingress:
@@ -237,16 +251,16 @@
     run(test())
 
 
-# ---- unread, behind others or in the listen queue
+# ---- requests that are buffered, unread in the socket, or in the listen queue
 
 
 @each_way_to_leave
 @either_order
 @pytest.mark.parametrize("behind", [b"", slow_request(number=501), slow_request(number=501)[:40]])
-def test_unread_request_is_not_forwarded_if_its_client_leaves_as_a_response_goes_out(
+def test_buffered_request_is_not_forwarded_if_its_client_leaves_as_a_response_goes_out(
     how: str, client_first: bool, behind: bytes
 ) -> None:
-    """Further input of the client may stand unread before its end."""
+    """Further unread input of the client may hide the end of its connection."""
 
     async def test() -> None:
         async with ingress_with_idle_connections(MAX_PIPELINED) as ingress:
@@ -298,7 +312,7 @@
 
 @each_way_to_leave
 def test_unread_bytes_do_not_hide_that_a_client_left(how: str) -> None:
-    """Part of a further request stands unread before its end, so a peek alone shows no end."""
+    """A peek returns only the unread part of a further request, not the end behind it."""
 
     async def test() -> None:
         async with ingress_with_idle_connections() as ingress:
--- a/tests/server/test_connection_limits.py
+++ b/tests/server/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Bounds on client connections: how many, and for how long."""
+"""Limits on client connections: their number and their duration."""
 
 from __future__ import annotations
 
@@ -15,28 +15,31 @@
 from tests.support.peers import OK_RESPONSE, never_respond, respond
 
 
-@pytest.mark.parametrize("begin", [b"", b"\r\n", b"POST /vat-fi", request()[:-3]])
+@pytest.mark.parametrize("first_bytes", [b"", b"\r\n", b"POST /vat-fi", request()[:-3]])
 def test_first_request_times_out_from_the_connections_start(
-    begin: bytes, monkeypatch: pytest.MonkeyPatch
+    first_bytes: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Bytes that keep trickling in win no time: the client gets an error or a close."""
+    """A client that keeps sending single bytes must not extend its time limit.
+
+    It gets an error response or a close.
+    """
     monkeypatch.setattr("sumacpost.server.connection_registry.REQUEST_TIMEOUT_S", 0.2)
     monkeypatch.setattr("sumacpost.service.MAINTENANCE_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with running_ingress(respond()) as ingress:
             client = await ingress.client()
-            client.write(begin)
+            client.write(first_bytes)
 
-            async def drip() -> None:
-                while begin.startswith(b"POST"):
+            async def trickle() -> None:
+                while first_bytes.startswith(b"POST"):
                     await asyncio.sleep(0.05)
-                    client.write(b"x" if begin.endswith(b"fi") else b"")
+                    client.write(b"x" if first_bytes.endswith(b"fi") else b"")
 
-            dripping = asyncio.create_task(drip())
-            got = await client.read_to_end()
-            dripping.cancel()
-            assert got.startswith(b"HTTP/1.1 408 ") if begin.strip() else got == b""
+            trickling = asyncio.create_task(trickle())
+            received = await client.read_to_end()
+            trickling.cancel()
+            assert received.startswith(b"HTTP/1.1 408 ") if first_bytes.strip() else received == b""
             assert (await ingress.send(request(number=2))).status == 200
 
     run(test())
@@ -52,7 +55,7 @@
         async with running_ingress(respond()) as ingress:
             client = await ingress.client()
             assert (await client.send(request())).status == 200
-            await asyncio.sleep(0.4)  # between requests there is no such limit
+            await asyncio.sleep(0.4)  # the request time-out does not apply between requests
             assert (await client.send(request(number=2))).status == 200
             client.write(request(number=3)[:-1])
             assert (await client.read_response()).status == 408
@@ -62,49 +65,57 @@
 
 
 def test_connections_without_a_complete_request_do_not_keep_others_out() -> None:
-    """64 descriptors leave eight for clients; none of the forty has sent a whole request."""
+    """Connections without a complete request must not use up the connection limit.
+
+    With 64 descriptors there are eight places for clients; 40 clients send nothing or only part of
+    a request.
+    """
 
     async def test() -> None:
         async with running_ingress(respond(), sockets=64) as ingress:
-            used = await ingress.client()
-            assert (await used.send(request())).status == 200
+            active_client = await ingress.client()
+            assert (await active_client.send(request())).status == 200
             for number in range(40):
                 client = await ingress.client()
                 if number % 2:
                     client.write(request()[:30])
             assert (await asyncio.wait_for(ingress.send(request(number=2)), 1.0)).status == 200
-            assert (await used.send(request(number=3))).status == 200  # they went before it
+            # The connections without a complete request were evicted first.
+            assert (await active_client.send(request(number=3))).status == 200
 
     run(test())
 
 
 def test_idle_connections_take_only_part_of_the_capacity() -> None:
-    """Found in incident r1a30be: clients that had sent one request took up the whole capacity.
+    """Idle connections of clients that had sent one request once used up the whole capacity.
 
-    80 descriptors leave 16 places for clients. A client that keeps sending requests is never the
-    one that is idle longest.
+    With 80 descriptors there are 16 places for clients, of which four may be idle. A client that
+    keeps sending requests stays connected, as its connection is never the longest idle.
     """
 
     async def test() -> None:
         async with running_ingress(respond(), sockets=80) as ingress:
             connections = ingress.server.connections
-            used = await ingress.client()
-            once = []
+            active_client = await ingress.client()
+            one_time_clients = []
             for number in range(0, 20, 2):
-                assert (await used.send(request(number=number))).status == 200
-                once.append(await ingress.client())
-                assert (await once[-1].send(request(number=number + 1))).status == 200
-            for client in once[:6]:
+                assert (await active_client.send(request(number=number))).status == 200
+                one_time_clients.append(await ingress.client())
+                assert (await one_time_clients[-1].send(request(number=number + 1))).status == 200
+            for client in one_time_clients[:6]:
                 assert await client.read_to_end() == b""  # closed, not reset
             await until(lambda: len(connections.idle) == len(connections.open) == 4)
-            assert (await once[-1].send(request(number=50))).status == 200
-            assert (await used.send(request(number=51))).status == 200
+            assert (await one_time_clients[-1].send(request(number=50))).status == 200
+            assert (await active_client.send(request(number=51))).status == 200
 
     run(test())
 
 
 def test_clients_beyond_the_limit_wait_for_capacity() -> None:
-    """64 descriptors leave eight for clients: idle connections make room, busy ones do not."""
+    """Idle connections are evicted for new ones, and connections with pending requests are not.
+
+    With 64 descriptors there are eight places for clients.
+    """
 
     async def test() -> None:
         async with running_ingress(*[never_respond] * 8, sockets=64) as ingress:
@@ -129,10 +140,10 @@
     run(test())
 
 
-def hold_descriptors(held: list[int]) -> None:
-    """Open files, and add them to those held, until the system refuses."""
+def exhaust_descriptors(descriptors: list[int]) -> None:
+    """Open files until the system refuses, and append their descriptors to the list."""
     while True:
-        held.append(os.open("/dev/null", os.O_RDONLY))
+        descriptors.append(os.open("/dev/null", os.O_RDONLY))
 
 
 def test_running_out_of_descriptors_ends_no_connection(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -141,18 +152,18 @@
             first = await ingress.client()
             assert (await first.send(HEALTH_REQUEST)).status == 200
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-            held: list[int] = []
+            descriptors: list[int] = []
             try:
                 reader, writer = await asyncio.open_connection(*ingress.address)
                 resource.setrlimit(resource.RLIMIT_NOFILE, (min(soft, 256), hard))
                 with pytest.raises(OSError, match="Too many open files"):
-                    hold_descriptors(held)
+                    exhaust_descriptors(descriptors)
                 assert (await first.send(HEALTH_REQUEST)).status == 200
-                # No socket is left for an attempt, so nothing was sent.
+                # No descriptor is left for a backend connection, so no attempt was written.
                 assert (await first.send(request())).status == 429
             finally:
-                for number in held:
-                    os.close(number)
+                for descriptor in descriptors:
+                    os.close(descriptor)
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             assert (await Client(reader, writer).send(request(number=2))).status == 200
             writer.close()
@@ -163,7 +174,10 @@
 def test_waiting_connection_is_accepted_as_soon_as_another_becomes_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It waited until a connection ended, though an idle one can be evicted."""
+    """A connection beyond the limit once waited until another one ended.
+
+    An idle connection can be evicted, so the waiting one can be accepted as soon as there is one.
+    """
     monkeypatch.setattr("sumacpost.server.connection_registry.IDLE_TIMEOUT_S", 1000.0)
 
     async def test() -> None:
@@ -186,7 +200,7 @@
             client = await ingress.client()
             listening_socket = listener._socket
 
-            class Aborted:
+            class AbortingSocket:
                 def accept(self) -> Any:
                     accepts.append(1)
                     if len(accepts) == 1:
@@ -196,7 +210,7 @@
                 def __getattr__(self, name: str) -> Any:
                     return getattr(listening_socket, name)
 
-            monkeypatch.setattr(listener, "_socket", Aborted())
+            monkeypatch.setattr(listener, "_socket", AbortingSocket())
             assert listener.accept()
             assert len(accepts) == 3
             assert (await client.send(request())).status == 200
@@ -207,7 +221,7 @@
 def test_request_with_connection_close_is_not_timed_out_as_incomplete(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was taken for a connection without a request, and closed after 2 s."""
+    """Such a connection was once treated as one without a request, and closed after 2 s."""
     monkeypatch.setattr("sumacpost.server.connection_registry.REQUEST_TIMEOUT_S", 0.1)
     monkeypatch.setattr("sumacpost.service.MAINTENANCE_INTERVAL_S", 0.02)
 
@@ -219,7 +233,7 @@
             connections = ingress.server.connections
             (connection,) = connections.open
             assert connection not in connections.waiting
-            await asyncio.sleep(0.3)  # three times what a message may take
+            await asyncio.sleep(0.3)  # three times the request time-out
             ingress.backends[0].writers[0].write(OK_RESPONSE)
             assert (await client.read_response()).status == 200
             assert await client.read_to_end() == b""
--- a/tests/server/test_connection_queue.py
+++ b/tests/server/test_connection_queue.py
@@ -1,4 +1,4 @@
-"""The order and the ages of connections in a queue."""
+"""The order and age of connections in a queue."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from sumacpost.server.connection import ClientConnection
 from sumacpost.server.connection_queue import ConnectionQueue
 
-# The queue only keeps connections, so any objects do.
+# The queue calls no method of a connection, so plain objects are sufficient.
 FIRST, SECOND, THIRD, FOURTH = (cast(ClientConnection, object()) for _ in range(4))
 
 
 class Clock:
-    """A clock that a test sets."""
+    """A monotonic clock set by the test, in seconds."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 100.0
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def queue(clock: Clock) -> ConnectionQueue[ClientConnection]:
-    """A queue with three connections, added a second apart from 100 s on."""
+    """Return a queue of three connections added at 100 s, 101 s and 102 s."""
     queue: ConnectionQueue[ClientConnection] = ConnectionQueue()
     for connection in (FIRST, SECOND, THIRD):
         queue.add(connection)
--- a/tests/server/test_disconnect_races.py
+++ b/tests/server/test_disconnect_races.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect as another step of their request happens; see docs/crossings.md."""
+"""Clients that disconnect during another step of their request; see docs/crossings.md."""
 
 from __future__ import annotations
 
@@ -22,29 +22,32 @@
 def test_request_of_a_client_that_left_the_listen_queue_is_not_forwarded(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its connection was not accepted yet, and one to the backend stands ready."""
+    """The client disconnects before its connection is accepted; a backend connection is idle.
+
+    The request could be written to the backend as soon as it is read.
+    """
 
     async def test() -> None:
         async with running_ingress(respond()) as ingress:
             server = ingress.server
-            seen = []
+            opened = []
             assert (await ingress.send(request("vat-filing"))).status == 200
             await asyncio.sleep(2 * REUSE_DELAY_S)
             server.listener.pause()
-            late = await ingress.client()
-            late.write(request("vat-filing", 50, Request_Timeout=LONG_TIMEOUT))
-            await until(lambda: not late.writer.transport.get_write_buffer_size())
-            late.disconnect(how)
+            queued_client = await ingress.client()
+            queued_client.write(request("vat-filing", 50, Request_Timeout=LONG_TIMEOUT))
+            await until(lambda: not queued_client.writer.transport.get_write_buffer_size())
+            queued_client.disconnect(how)
             connection_opened = server.connections.connection_opened
 
             def record_opened(connection: ClientConnection) -> None:
-                seen.append(connection)
+                opened.append(connection)
                 connection_opened(connection)
 
             monkeypatch.setattr(server.connections, "connection_opened", record_opened)
             server.listener.resume()
-            await until(lambda: len(seen) == 1 and seen[0] not in server.connections.open)
-            # A request forwarded before this one would have come by now.
+            await until(lambda: len(opened) == 1 and opened[0] not in server.connections.open)
+            # A request forwarded before this one would have been received by now.
             assert (await ingress.send(request("vat-filing", 51))).status == 200
             assert ingress.requests_received == 2
 
@@ -73,14 +76,16 @@
 
 def test_request_waiting_for_the_counter_is_cancelled_with_its_client() -> None:
     async def test() -> None:
-        async def late(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
-            total[0] += float(call.split()[2])  # else the gateway would correct it
-            await let.wait()
+        async def delayed_reply(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
+            total[0] += float(call.split()[2])  # with another total it would send a correction
+            await reply_allowed.wait()
             writer.write(b"$%d\r\n%b\r\n" % (len(text := b"%.6f" % total[0]), text))
 
-        let, total = asyncio.Event(), [0.0]
-        patient = {"extra": SETTINGS["extra"] | {"count_wait": 4000.0}}
-        async with running_ingress(respond(), counter=late, settings=patient) as ingress:
+        reply_allowed, total = asyncio.Event(), [0.0]
+        long_counter_timeout = {"extra": SETTINGS["extra"] | {"count_wait": 4000.0}}
+        async with running_ingress(
+            respond(), counter=delayed_reply, settings=long_counter_timeout
+        ) as ingress:
             client = await ingress.client()
             client.write(
                 request(
@@ -99,7 +104,7 @@
             )
             client.disconnect("closed")
             await until(lambda: not ingress.server.connections.open)
-            let.set()
+            reply_allowed.set()
             await until(
                 lambda: (
                     not any(
@@ -121,18 +126,18 @@
     async def test() -> None:
         async with running_ingress(respond()) as ingress:
 
-            class Leaving(BackendConnection):
+            class CancellingConnection(BackendConnection):
                 def __init__(self, pool: ConnectionPool, sock: socket.socket) -> None:
                     super().__init__(pool, sock)
                     for call in list(ingress.bridge._pending.values()):
                         ingress.bridge.cancel_request(call)
 
             with monkeypatch.context() as patched:
-                patched.setattr("sumacpost.upstream.pool.BackendConnection", Leaving)
+                patched.setattr("sumacpost.upstream.pool.BackendConnection", CancellingConnection)
                 client = await ingress.client()
                 client.write(request(Request_Timeout=LONG_TIMEOUT))
                 pools = ingress.pool_manager._pools.values()
-                # The connection that opened is kept for others.
+                # The connection that was opened is kept for other requests.
                 await until(lambda: any(pool.idle for pool in pools))
             await asyncio.sleep(2 * REUSE_DELAY_S)
             assert ingress.requests_received == 0
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: what was accepted is answered, then all connections are closed."""
+"""Graceful shutdown: accepted requests are answered, then all connections are closed."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
             await until(lambda: len(ingress.backends[0].requests) == 1)
             ingress.stop.set()
             assert await idle.read_to_end() == b""
-            late = await ingress.client()  # as of one that has not noticed yet
+            late = await ingress.client()  # a client that has not noticed the shutdown yet
             assert (await late.send(HEALTH_REQUEST)).status == 503
             late = await ingress.client()
             late.write(request(number=2, Request_Timeout="8.000"))
@@ -82,7 +82,10 @@
 
 
 def test_request_late_in_a_drain_is_answered_before_the_process_is_killed() -> None:
-    """SIGKILL follows SIGTERM by the longest deadline, 3 s at most, and 0.7 s."""
+    """SIGKILL may follow SIGTERM after the longest deadline, counted as at most 3 s, plus 0.7 s.
+
+    The deadline of a request that arrives during the drain is therefore limited.
+    """
 
     async def test() -> None:
         async with running_ingress(never_respond) as ingress:
@@ -117,7 +120,10 @@
 def test_connection_in_the_listen_queue_is_accepted_before_the_listener_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All eight places are taken. The listener was closed, which reset the ninth connection."""
+    """The listener was once closed while all eight places were taken.
+
+    That reset the ninth connection, which was in the listen queue.
+    """
     for name in ("MIN_ACCEPT_MS", "QUIET_MS", "MAX_ACCEPT_MS"):
         monkeypatch.setattr(f"sumacpost.policy.shutdown.{name}", 50.0)
 
@@ -125,7 +131,7 @@
         async with running_ingress(*[never_respond] * 8, sockets=64) as ingress:
             late = await connect_beyond_bound(ingress)
             ingress.stop.set()
-            await asyncio.sleep(0.3)  # long past the time at which it would have closed
+            await asyncio.sleep(0.3)  # well after the time at which the listener would have closed
             for backend in ingress.backends:
                 backend.script = respond()
                 backend.writers[0].write(OK_RESPONSE)
@@ -137,7 +143,7 @@
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.EPROTO, errno.EPERM])
 def test_failing_accept_does_not_end_a_drain(error: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """An error in the drain would have ended the process with the requests it had accepted."""
+    """An error of accept that ended the drain would end the process with requests unanswered."""
 
     async def test() -> None:
         async with running_ingress(never_respond) as ingress:
@@ -146,16 +152,16 @@
             await ingress.wait_for_requests(1)
             listener = ingress.server.listener._socket
 
-            class Failing:
+            class FailingSocket:
                 def accept(self) -> Any:
                     raise OSError(error, "no")
 
                 def __getattr__(self, name: str) -> Any:
                     return getattr(listener, name)
 
-            monkeypatch.setattr(ingress.server.listener, "_socket", Failing())
+            monkeypatch.setattr(ingress.server.listener, "_socket", FailingSocket())
             ingress.stop.set()
-            await asyncio.sleep(0.5)  # the listener would be closed by now
+            await asyncio.sleep(0.5)  # without the error the listener would be closed by now
             ingress.backends[0].writers[0].write(OK_RESPONSE)
             assert (await client.read_response()).status == 200
             await ingress.task
@@ -164,10 +170,14 @@
 
 
 @pytest.mark.parametrize("end_first", [True, False])
-def test_request_crossing_the_close_of_its_connection_is_answered_or_never_read(
+def test_request_sent_as_its_connection_is_closed_is_answered_or_never_read(
     end_first: bool,
 ) -> None:
-    """What was not read, the client sends elsewhere; what was read has its response."""
+    """A request sent as the drain closes its idle connection must not be lost.
+
+    If the ingress has not read the request, the client can send it elsewhere; if it has, the client
+    gets a response.
+    """
 
     async def test() -> None:
         async with running_ingress(respond()) as ingress:
@@ -180,14 +190,14 @@
                 client.write(request())
                 ingress.stop.set()
             try:
-                got = await client.read_to_end()
+                received = await client.read_to_end()
             except ConnectionResetError:
-                got = b""
+                received = b""
             await ingress.task
             assert (
                 ingress.requests_received
-                == got.count(b"HTTP/1.1 200 ")
-                == (b"Connection: close" in got)
+                == received.count(b"HTTP/1.1 200 ")
+                == (b"Connection: close" in received)
             )
 
     run(test())
@@ -195,8 +205,10 @@
 
 def test_drain_does_not_wait_for_outstanding_counter_calls() -> None:
     async def test() -> None:
-        patient = {"extra": SETTINGS["extra"] | {"count_wait": 10_000.0}}
-        async with running_ingress(respond(), counter=never_respond, settings=patient) as ingress:
+        long_counter_timeout = {"extra": SETTINGS["extra"] | {"count_wait": 10_000.0}}
+        async with running_ingress(
+            respond(), counter=never_respond, settings=long_counter_timeout
+        ) as ingress:
             counter = ingress.counter_client
             assert counter is not None
             counter.call(7, 1.0, 1000.0)
--- a/tests/server/test_drain_deadline.py
+++ b/tests/server/test_drain_deadline.py
@@ -1,4 +1,4 @@
-"""The end of a drain: what was read is answered, and nothing is left open for SIGKILL to find."""
+"""The end of a drain: requests already read are answered, and connections closed before SIGKILL."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from tests.support.ingress import RunningIngress, running_ingress
 from tests.support.peers import never_respond, respond
 
-KILL_AFTER_S = 1.0  # with a longest deadline of 0.3 s
+KILL_AFTER_S = 1.0  # from SIGTERM to SIGKILL, with a longest deadline of 0.3 s
 SHORT_DEADLINES: dict[str, Any] = {
     "categories": [c | {"aim": 200.0, "hard_limit": 300.0} for c in SETTINGS["categories"]]
 }
 
 
 async def stop(ingress: RunningIngress) -> float:
-    """Begin the drain and return the time of the earliest SIGKILL."""
+    """Start the drain; return the earliest time of SIGKILL, in monotonic seconds."""
     ingress.stop.set()
     kill_at = time.monotonic() + KILL_AFTER_S
     await until(lambda: ingress.server.handler.draining)
@@ -31,13 +31,13 @@
 
 async def read_statuses(client: Client) -> list[bytes]:
     """Return the statuses of all responses until the connection ends."""
-    got = await client.read_to_end()
+    received = await client.read_to_end()
     client.writer.close()
-    return [part[:3] for part in got.split(b"HTTP/1.1 ")[1:]]
+    return [part[:3] for part in received.split(b"HTTP/1.1 ")[1:]]
 
 
 def test_requests_pending_at_sigterm_are_answered_before_sigkill() -> None:
-    """Their clients would wait longer than the process can live."""
+    """The timeout of these requests is longer than the process can run after SIGTERM."""
 
     async def test() -> None:
         async with running_ingress(never_respond, settings=SHORT_DEADLINES) as ingress:
@@ -81,7 +81,10 @@
 
 
 def test_requests_read_and_not_yet_handled_are_answered_at_the_end_of_a_drain() -> None:
-    """Eight responses are owed on the connection, so three more requests are held unread."""
+    """Requests that are buffered but not parsed must also be answered before the process exits.
+
+    Eight responses are pending on the connection, so the three later requests stay buffered.
+    """
 
     async def test() -> None:
         async with running_ingress(*[never_respond] * 4, settings=SHORT_DEADLINES) as ingress:
@@ -101,15 +104,15 @@
 
 @pytest.mark.parametrize("first_bytes", [b"", request()[:50]])
 def test_connection_without_a_request_is_closed_before_sigkill(first_bytes: bytes) -> None:
-    """A request on it that SIGKILL finds would be lost."""
+    """A request that is sent on such a connection just before SIGKILL would be lost."""
 
     async def test() -> None:
         async with running_ingress(respond(), settings=SHORT_DEADLINES) as ingress:
             kill_at = await stop(ingress)
             client = await ingress.client()
             client.write(first_bytes)
-            got = await read_statuses(client)
-            assert got == ([b"408"] if first_bytes else [])
+            received = await read_statuses(client)
+            assert received == ([b"408"] if first_bytes else [])
             assert time.monotonic() < kill_at
             await ingress.task
 
@@ -119,7 +122,7 @@
 def test_idle_connection_whose_next_request_has_come_is_not_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The loop has not read it when the drain starts."""
+    """The event loop may not have read the request yet when the drain starts."""
 
     async def test() -> None:
         async with running_ingress(respond()) as ingress:
@@ -136,7 +139,10 @@
 
 
 def test_request_that_waits_for_a_silent_counter_is_rejected_at_the_end_of_a_drain() -> None:
-    """Its deadline was later than the counter's time-out before the drain brought it forward."""
+    """The drain moves the deadline to a time before the counter time-out.
+
+    Before the drain the counter time-out was the earlier one.
+    """
     settings = SHORT_DEADLINES | {"extra": SETTINGS["extra"] | {"count_wait": 10_000.0}}
     units = "units=4,spread=2,first=0"
 
--- a/tests/server/test_pipelining.py
+++ b/tests/server/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Several requests in a row on one connection."""
+"""Several pipelined requests on one connection."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 async def fill_pipeline(ingress: RunningIngress) -> tuple[Client, ClientConnection]:
     """Open a connection and send as many requests on it as may be pending at once.
 
-    Return the client's and the ingress's end.
+    Return the client's and the ingress's end of the connection.
     """
     client = await ingress.client()
     for number in range(MAX_PIPELINED):
@@ -39,22 +39,24 @@
             client = await ingress.client()
             client.write(b"".join(request(number=n) for n in range(40)))
             statuses = {(await client.read_response()).status for _ in range(40)}
-            assert statuses <= {200, 429}  # 429 where the backend has too much to do
+            assert statuses <= {200, 429}  # 429 if the backend is overloaded
 
     run(test())
 
 
 @pytest.mark.parametrize("how", ["closed", "reset"])
-def test_unread_requests_are_dropped_when_the_client_disconnects(how: str) -> None:
-    """With eight responses pending no more is parsed; the client's end has to be seen anyway."""
+def test_buffered_requests_are_dropped_when_the_client_disconnects(how: str) -> None:
+    """With eight responses pending no input is parsed, but a disconnect must still be detected."""
 
     async def test() -> None:
         async with running_ingress(*[never_respond] * 8) as ingress:
             client, connection = await fill_pipeline(ingress)
-            unread = [request("vat-filing", n, Request_Timeout=LONG_TIMEOUT) for n in (50, 51)]
-            for data in unread:
+            buffered_requests = [
+                request("vat-filing", n, Request_Timeout=LONG_TIMEOUT) for n in (50, 51)
+            ]
+            for data in buffered_requests:
                 client.write(data)
-            await until(lambda: connection._buffered_bytes == len(b"".join(unread)))
+            await until(lambda: connection._buffered_bytes == len(b"".join(buffered_requests)))
             client.disconnect(how)
             await until(lambda: not ingress.server.connections.open and not ingress.bridge._pending)
             await until(
@@ -66,13 +68,13 @@
     run(test())
 
 
-def test_unread_request_is_handled_later_and_its_deadline_counts_from_its_arrival() -> None:
+def test_buffered_request_is_handled_later_and_its_timeout_counts_from_its_arrival() -> None:
     async def test() -> None:
         async with running_ingress(*[never_respond] * 8) as ingress:
             client, connection = await fill_pipeline(ingress)
             client.write(request("vat-filing", 50, Request_Timeout="5.000"))
             await until(lambda: connection._buffered_bytes > 0)
-            await asyncio.sleep(0.05)  # time that it loses
+            await asyncio.sleep(0.05)  # counts towards the request's timeout
             for backend in ingress.backends:
                 backend.script = respond()
             respond_to_all(ingress)
@@ -85,7 +87,7 @@
     run(test())
 
 
-def test_too_much_unread_input_ends_the_connection_after_the_pending_responses() -> None:
+def test_too_much_buffered_input_ends_the_connection_after_the_pending_responses() -> None:
     async def test() -> None:
         async with running_ingress(*[never_respond] * 8) as ingress:
             client, connection = await fill_pipeline(ingress)
@@ -104,7 +106,7 @@
 
 
 def test_no_request_is_handled_for_a_client_that_reads_no_responses() -> None:
-    """Its responses would pile up here without end."""
+    """Responses that such a client does not read would accumulate in memory without limit."""
 
     async def test() -> None:
         async with running_ingress(respond(b"x" * 60_000)) as ingress:
--- a/tests/server/test_request_reader.py
+++ b/tests/server/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Requests put together from pieces, without sockets."""
+"""Parsing of requests from pieces of input, without sockets."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RecordingReader(RequestReader):
-    """A reader that keeps the requests it has read."""
+    """A reader that stores the requests that it has read."""
 
     def __init__(self) -> None:
         self.messages: list[RequestMessage] = []
@@ -85,7 +85,7 @@
     ],
     ids=["no HTTP", "long head", "two framings", "unknown coding", "long body", "long framing"],
 )
-def test_error_tells_the_status_of_the_response(
+def test_error_contains_the_status_of_the_response(
     reader: RecordingReader, data: bytes, status: int
 ) -> None:
     with pytest.raises(RequestError) as error:
--- a/tests/server/test_requests.py
+++ b/tests/server/test_requests.py
@@ -1,4 +1,4 @@
-"""Valid and invalid requests of clients."""
+"""Validation of client requests."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     async def test() -> None:
         async with running_ingress(respond()) as ingress:
             assert (await ingress.send(data)).status == status
-            assert (await ingress.send(request())).status == 200  # and harms nobody else
+            assert (await ingress.send(request())).status == 200  # other clients are served
             assert len(ingress.backends[0].requests) == 1
 
     run(test())
@@ -116,7 +116,7 @@
     ],
 )
 def test_ambiguous_framing_smuggles_no_request(head: str) -> None:
-    """The connection ends with a 400, and nothing behind the head is read as a request."""
+    """The connection ends with status 400, and nothing after the head is read as a request."""
 
     async def test() -> None:
         async with running_ingress(respond()) as ingress:
@@ -150,7 +150,10 @@
 
 
 def test_error_arrives_though_the_client_keeps_sending() -> None:
-    """Discarded input is not read as a request, and no reset takes the error away."""
+    """Closing the socket with unread input would reset the connection and lose the error.
+
+    Input is therefore read and discarded, but not handled as a request.
+    """
 
     async def test() -> None:
         async with running_ingress(respond()) as ingress:
@@ -166,7 +169,7 @@
 
 
 def test_plan_names_are_matched_as_clients_send_them() -> None:
-    """Requests of the plan "half crate, red" got 400, as it was known as half_crate_red."""
+    """Requests of the plan "half crate, red" got status 400, as it was stored as half_crate_red."""
 
     async def test() -> None:
         plan = SETTINGS["plans"][1] | {"name": "half crate, red"}
