--- a/sumacpost/diagnostics/event_recorder.py
+++ b/sumacpost/diagnostics/event_recorder.py
@@ -42,7 +42,8 @@
         at_s: the time of the event, monotonic clock, in seconds.
         kind: what has happened.
         reason: why it happened, or its result; a single word, because events are counted by it.
-        subject: what the event concerns: the id of a request, or the address of a peer.
+        subject: what the event concerns: the id of a request, the address of a peer, the target of
+            a refused request, or the subject of a drain phase.
         detail: further fields of the log line, as a %-format string for `values`.
         values: the values for `detail`; formatted only if the event is logged.
     """
--- a/sumacpost/model/events.py
+++ b/sumacpost/model/events.py
@@ -187,7 +187,7 @@
 
 @dataclass(slots=True)
 class DrainStarted:
-    """The gateway is about to shut down; pending and new requests get an earlier deadline.
+    """The gateway is about to shut down, which limits the deadlines of pending and new requests.
 
     Attributes:
         respond_within_ms: the time within which every final response is due.
