--- a/sumacpost/counter/client.py
+++ b/sumacpost/counter/client.py
@@ -1,4 +1,4 @@
-"""The client of the shared counter: keeps a connection, and replies once to every call."""
+"""The client of the shared counter, which reports exactly one reply for every call."""
 
 from __future__ import annotations
 
@@ -15,15 +15,17 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 0.5
-RECONNECT_DELAY_S = 0.2  # after an attempt that failed, or a connection that was of no use
+# Delay after a failed attempt to connect, or a connection lost soon and without a reply.
+RECONNECT_DELAY_S = 0.2
 
 
 class CounterClient:
-    """Adds to the numbers of the shared counter; `on_reply` gets exactly one reply for each call.
+    """Adds to the numbers of the shared counter.
 
-    Replies for one number come in the order of its calls, and never within `call` itself.
-    `timeout_s` bounds how long a call waits. An `address` of None means that there is no counter:
-    every call fails with Outcome.CONNECT_FAILED.
+    `on_reply` is called with exactly one reply for each call. Replies for one number are reported
+    in the order of its calls, and never within `call` itself. `timeout_s` limits the time that a
+    call waits for its reply. An `address` of None means that there is no counter: every call fails
+    with Outcome.CONNECT_FAILED.
     """
 
     def __init__(
@@ -38,19 +40,20 @@
         self._loop = asyncio.get_running_loop()
         self._connection: CounterConnection | None = None
         self._connection_ended = asyncio.Event()
-        self._pending_calls: dict[int, deque[CounterCall]] = {}  # by name, in the order of calls
+        self._pending_calls: dict[int, deque[CounterCall]] = {}  # by name, in order of the calls
         self._reply_latency = ReplyLatency()
         self._connect_failing = False
 
     @property
     def connected(self) -> bool:
-        """Whether there is a connection that can take calls."""
+        """Whether there is a connection that accepts calls."""
         return self._connection is not None and self._connection.connected
 
     async def run(self, first_attempt_done: asyncio.Event) -> None:
-        """Keep a connection until cancelled.
+        """Maintain a connection until cancelled.
 
-        `first_attempt_done` is set once the first attempt to connect has succeeded or failed.
+        `first_attempt_done` is set once the first attempt to connect has succeeded or failed, and
+        immediately if there is no counter.
         """
         while self._address is not None:
             self._connection_ended.clear()
@@ -68,7 +71,7 @@
         await asyncio.Event().wait()
 
     async def _connect(self, address: Address) -> CounterConnection | None:
-        """Return a new connection, or None, with a log line for the first failure of a row."""
+        """Return a new connection, or None on failure; log the first of consecutive failures."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await self._loop.create_connection(self._new_connection, *address)
@@ -85,7 +88,7 @@
         )
 
     def _replace_connection(self, connection: CounterConnection) -> None:
-        """Use a new connection; the one before it closes once its calls are concluded."""
+        """Use a new connection; the previous one closes once all its calls are concluded."""
         previous = self._connection
         self._connection = connection
         if previous is not None:
@@ -95,9 +98,9 @@
         self._connect_failing = False
 
     def change_address(self, address: Address | None) -> None:
-        """Use another counter from the next `run` on, which the caller has to start.
+        """Set the address of the counter for the next `run`, which the caller has to start.
 
-        The old connection takes calls until there is a new one.
+        The old connection accepts calls until there is a new one.
         """
         self._address = address
 
@@ -107,7 +110,7 @@
             self._connection_ended.set()
 
     def call(self, name: int, amount: float, ttl_ms: float) -> None:
-        """Add `amount` to the number `name`, which lives for `ttl_ms` milliseconds after that."""
+        """Add `amount` to the number `name`, and set its time to live to `ttl_ms` milliseconds."""
         call = CounterCall(name, self._loop.time())
         self._pending_calls.setdefault(name, deque()).append(call)
         if self._connection is None or not self._connection.connected:
@@ -116,10 +119,10 @@
             self._loop.call_soon(self._conclude, call, Outcome.REJECTED, 0.0)
 
     def _conclude(self, call: CounterCall, outcome: Outcome, total: float) -> None:
-        """Record how a call ended, and hand on the replies that are due.
+        """Conclude a call, and report the replies that are no longer delayed by earlier calls.
 
-        Every call ends here, once. As a new connection may overtake the old one, a reply is held
-        back until the earlier calls for its number have theirs.
+        Every call is concluded here exactly once. Since a new connection may reply before the old
+        one, a reply is delayed until the earlier calls for its number are concluded.
         """
         elapsed_ms = (self._loop.time() - call.started_at) * 1000
         call.reply = CounterReplied(call.name, outcome, elapsed_ms, total)
--- a/sumacpost/counter/connection.py
+++ b/sumacpost/counter/connection.py
@@ -1,8 +1,8 @@
-"""One connection to the counter: pipelined calls, the replies to them, and two time-outs.
+"""One connection to the counter: pipelined calls, their replies, and two time-outs.
 
-A call that has waited for the time-out of calls is concluded, but its reply is still owed and is
-read when it comes. A connection on which no reply at all comes is closed: its calls are lost, and a
-new connection is made.
+A call that exceeds the call time-out is concluded, but its reply is still expected and is read when
+it arrives. A connection that exceeds the silence time-out, without any reply, is closed: its calls
+are lost, and the client opens a new connection.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 log = logging.getLogger(__name__)
 
-MAX_OUTSTANDING_CALLS = 1000  # without a reply on one connection
-STABLE_AFTER_S = 0.2  # a connection of this age is replaced without a pause when it is lost
-TIMER_TOLERANCE_S = 0.0005  # deadlines this close are met in the same turn of the timer
+MAX_OUTSTANDING_CALLS = 1000  # calls without a reply on one connection
+STABLE_AFTER_S = 0.2  # a connection of this age is replaced immediately when it is lost
+TIMER_TOLERANCE_S = 0.0005  # deadlines that are this close are handled by the same timer
 
-# How long a connection may be silent while it owes replies, if the time-out of calls is no longer:
-FIRST_REPLY_TIMEOUT_S = 0.25  # before its first reply: nobody may be serving it
-SILENCE_LATENCY_FACTOR = 8.0  # after that: so many times what replies take
-MAX_SILENCE_S = 1.0  # but no longer than this
-LATENCY_DECAY = 0.98  # what each quicker reply leaves of the latency that slower ones have shown
+# Silence time-out of a connection with unreplied calls, unless the call time-out is longer:
+FIRST_REPLY_TIMEOUT_S = 0.25  # before the first reply, as no process may be serving the connection
+SILENCE_LATENCY_FACTOR = 8.0  # after the first reply, multiple of the estimated reply latency
+MAX_SILENCE_S = 1.0  # upper limit of that multiple
+LATENCY_DECAY = 0.98  # factor applied to the estimated latency for each faster reply
 
 
 @dataclass(slots=True, eq=False)
@@ -38,8 +38,8 @@
 
     Attributes:
         name: the number that is added to.
-        started_at: when the call was made, in seconds of the loop's clock.
-        reply: what it ended with; None until then.
+        started_at: time of the call, in seconds of the event loop's clock.
+        reply: the reply to report; None until the call is concluded.
     """
 
     name: int
@@ -48,27 +48,27 @@
 
 
 class ReplyLatency:
-    """Estimates what replies take: close to the slowest of late, fading with each quicker one.
+    """Estimates the latency of replies as a maximum that decays with each faster reply.
 
-    Replies that come after the call's time-out count too.
+    Replies that arrive after the call time-out are included.
 
     Attributes:
-        seconds: the estimate.
+        seconds: the estimate, 0 before the first reply.
     """
 
     def __init__(self) -> None:
         self.seconds = 0.0
 
     def observe(self, latency_s: float) -> None:
-        """Take in the latency of one reply, in seconds."""
+        """Update the estimate with the latency of one reply, in seconds."""
         self.seconds = max(latency_s, self.seconds * LATENCY_DECAY)
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection to the counter, and the calls that it owes a reply to.
+    """One connection to the counter, and the calls that await a reply on it.
 
-    `on_concluded` is called exactly once for each call that `send` has accepted, with its outcome
-    and, for Outcome.OK, the total. `on_lost` is called once, when the connection has ended.
+    `on_concluded` is called exactly once for each call that `send` accepts, with the outcome and,
+    for Outcome.OK, the total. `on_lost` is called once, when the connection is closed.
     """
 
     def __init__(
@@ -87,25 +87,25 @@
         self._decoder = ReplyDecoder()
         self._created_at = self._loop.time()
         self._last_reply_at = self._created_at
-        self._unreplied: deque[CounterCall] = deque()  # in the order in which replies will come
-        self._waiting: deque[CounterCall] = deque()  # the last of them, which have not timed out
+        self._unreplied: deque[CounterCall] = deque()  # in the order of the expected replies
+        self._waiting: deque[CounterCall] = deque()  # the newest of those, which have not timed out
         self._timer: Timer | None = None
         self._has_replied = False
         self._retired = False
-        self._loss_outcome = Outcome.TIMEOUT  # of calls that wait when the connection ends
+        self._loss_outcome = Outcome.TIMEOUT  # of the calls that wait when the connection closes
 
     @property
     def allows_immediate_reconnect(self) -> bool:
-        """Whether it was replied on, or has stood a while: it can be replaced without a pause."""
+        """Whether the connection may be replaced without delay: it has replied or is stable."""
         return self._has_replied or self._loop.time() - self._created_at > STABLE_AFTER_S
 
     @property
     def connected(self) -> bool:
-        """Whether it can take calls."""
+        """Whether the connection accepts calls."""
         return self._transport is not None and not self._transport.is_closing()
 
     def send(self, call: CounterCall, data: bytes) -> bool:
-        """Write one encoded call; return False, with nothing written, if too many are unreplied."""
+        """Write one encoded call; return False without writing if too many are unreplied."""
         if len(self._unreplied) >= MAX_OUTSTANDING_CALLS or self._transport is None:
             return False
         self._transport.write(data)
@@ -119,7 +119,7 @@
         return True
 
     def retire(self) -> None:
-        """Take no more calls, and close once no call waits for its reply."""
+        """Close once no call waits for its reply; the caller makes no further calls."""
         self._retired = True
         self._close_if_retired()
 
@@ -133,14 +133,14 @@
         return call.started_at + self._timeout_s
 
     def _silent_since(self) -> float:
-        """Return since when the oldest unreplied call has had no sign of life."""
+        """Return the time of the last reply or of the oldest unreplied call, whichever is later."""
         return max(self._unreplied[0].started_at, self._last_reply_at)
 
     def _silence_timeout_s(self) -> float:
-        """Return how long no reply at all is tolerated, in seconds.
+        """Return the longest tolerated time without any reply, in seconds.
 
-        A counter that is slow as a whole shows in the latency of its replies, and the first reply
-        on a connection has longer, so that a slow counter is not met with ever new connections.
+        The limit follows the latency of replies, and the first reply on a connection has a fixed
+        limit, so that a slow counter does not cause repeated new connections.
         """
         limit_s = FIRST_REPLY_TIMEOUT_S
         if self._has_replied:
@@ -148,20 +148,20 @@
         return max(self._timeout_s, limit_s)
 
     def _check_deadlines(self) -> None:
-        """Close a silent connection, else conclude the calls whose time is over.
+        """Close a silent connection; otherwise conclude the calls that have timed out.
 
-        A connection that nobody serves any more while the counter is sound must be given up: calls
-        on it are lost. Where replies are held up for longer than the silence time-out though the
-        counter reads the calls, this may report calls as lost that will be added.
+        A connection that no process serves any more must be closed even if the counter is healthy,
+        since calls on it are lost. If replies are delayed for longer than the silence time-out
+        while the counter does read the calls, calls that will be added may be reported as lost.
         """
         self._timer = None
         now = self._loop.time() + TIMER_TOLERANCE_S
         if self._has_stalled_reply(now):
-            # the call that this reply belongs to was added
+            # the counter has processed the call whose reply has begun
             self._close_silent(Outcome.TIMEOUT, "partial_reply")
             return
         if self._unreplied and self._silent_since() + self._silence_timeout_s() <= now:
-            # most likely never read, if others were replied to
+            # the counter most likely never read the calls if it replied to earlier ones
             outcome = Outcome.RESET if self._has_replied else Outcome.TIMEOUT
             self._close_silent(outcome, "no_reply")
             return
@@ -179,7 +179,7 @@
         )
 
     def _time_out_calls(self, now: float) -> None:
-        """Conclude calls whose deadline has passed; they may have been added all the same."""
+        """Conclude calls whose deadline has passed; they may still have been added."""
         while self._waiting and self._call_deadline(self._waiting[0]) <= now:
             self._on_concluded(self._waiting.popleft(), Outcome.TIMEOUT, 0.0)
 
@@ -199,11 +199,11 @@
     # ---- called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to take calls."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass of it
+        """Start to accept calls."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass
 
     def data_received(self, data: bytes) -> None:
-        """Match replies to calls; close the connection after anything that is no reply."""
+        """Match replies to calls; close the connection after invalid data."""
         if self._transport is None or self._transport.is_closing():
             return
         self._decoder.receive_data(data)
@@ -218,9 +218,9 @@
             self._close_if_retired()
 
     def _handle_reply(self, reply: Reply) -> None:
-        """Take the reply to the oldest call; CounterProtocolError if there is none."""
+        """Match a reply to the oldest call; raise CounterProtocolError if there is no call."""
         if not self._unreplied:
-            raise CounterProtocolError(f"{reply!r} without a call")
+            raise CounterProtocolError(f"unexpected {reply!r} without a call")
         if isinstance(reply, ErrorReply) and not reply.is_overload:
             log.warning("counter call failed: error=%r", reply.message)
         self._has_replied = True
@@ -228,7 +228,7 @@
         self._last_reply_at = self._loop.time()
         self._reply_latency.observe(self._last_reply_at - call.started_at)
         if not self._waiting or self._waiting[0] is not call:
-            return  # it has timed out
+            return  # the call has timed out
         self._waiting.popleft()
         if isinstance(reply, TotalReply):
             self._on_concluded(call, Outcome.OK, reply.total)
@@ -236,7 +236,7 @@
             self._on_concluded(call, Outcome.REJECTED, 0.0)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Conclude the calls that still wait: they may have been added."""
+        """Conclude the calls that still wait, which may have been added."""
         self._transport = None
         if self._timer is not None:
             self._timer.cancel()
--- a/sumacpost/counter/resp.py
+++ b/sumacpost/counter/resp.py
@@ -1,11 +1,11 @@
-"""The codec of the counter: the part of RESP2 that a call of ADDGET and its reply need.
+"""The codec of the counter: the subset of RESP2 for calls of ADDGET and their replies.
 
-It does no I/O: bytes go in, typed replies come out. A general RESP decoder would wait for as many
-bytes as a length prefix announces, and set memory aside for them. This one accepts only the two
-forms of reply that ADDGET has, each of bounded length, and reports anything else at once:
+The codec does no I/O: it consumes bytes and produces typed replies. A general RESP decoder would
+wait for as many bytes as a length prefix announces, and allocate memory for them. This one accepts
+only the two forms of reply to ADDGET, each of limited length, and rejects anything else at once:
 
-- a bulk string that holds a decimal number, the new total: `$<length>\\r\\n<total>\\r\\n`
-- an error that says that nothing was added: `-BUSY <text>\\r\\n` or `-ERR <text>\\r\\n`
+- a bulk string that contains a decimal number, the new total: `$<length>\\r\\n<total>\\r\\n`
+- an error, which means that nothing was added: `-BUSY <text>\\r\\n` or `-ERR <text>\\r\\n`
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from sumacpost.errors import CounterProtocolError
 
 MIN_TTL_MS = 1  # the shortest time to live that the counter accepts
-MAX_QUOTED_BYTES = 32  # of unexpected data, in an error message
+MAX_QUOTED_BYTES = 32  # bytes of unexpected data in an error message
 
 _REPLY = re.compile(rb"\$(\d{1,2})\r\n([^\r\n]{1,99})\r\n|-([^\r\n]{1,99})\r\n")
 _INCOMPLETE_REPLY = re.compile(rb"\$(\d{1,2})?(\r|\r\n[^\r\n]{0,99}\r?)?|-[^\r\n]{0,99}\r?")
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TotalReply:
-    """The amount was added.
+    """A reply that reports the new total after the amount was added.
 
     Attributes:
         total: the number's new total, finite.
@@ -38,17 +38,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorReply:
-    """Nothing was added.
+    """A reply that reports that nothing was added.
 
     Attributes:
-        message: the error, from its code on: `BUSY ...` or `ERR ...`.
+        message: the error with its code: `BUSY ...` or `ERR ...`.
     """
 
     message: bytes
 
     @property
     def is_overload(self) -> bool:
-        """Whether the counter only sheds load; any other error is a fault of the call."""
+        """Whether the counter is shedding load; any other error is a fault of the call."""
         return not self.message.startswith(b"ERR")
 
 
@@ -56,7 +56,7 @@
 
 
 def encode_addget(name: int, amount: float, ttl_ms: float) -> bytes:
-    """Return the call that adds `amount` to the number `name`, kept for `ttl_ms` milliseconds."""
+    """Return the encoded call that adds `amount` to the number `name`, kept for `ttl_ms` ms."""
     key = b"%d" % name
     value = b"%.6f" % amount
     ttl = b"%d" % max(MIN_TTL_MS, round(ttl_ms))
@@ -65,10 +65,10 @@
 
 
 class ReplyDecoder:
-    """Turns the bytes of one connection into replies.
+    """Decodes the replies on one connection.
 
-    Feed it with `receive_data`, then call `next_reply` until that returns None. It must not be used
-    after it has raised: no later reply could be matched to its call.
+    Pass data to `receive_data`, then call `next_reply` until it returns None. The decoder must not
+    be used after it has raised an error, as no later reply could be matched to its call.
     """
 
     def __init__(self) -> None:
@@ -76,40 +76,40 @@
 
     @property
     def has_partial_reply(self) -> bool:
-        """Whether a reply has begun that is not complete."""
+        """Whether the buffer contains an incomplete reply."""
         return bool(self._buffer)
 
     def receive_data(self, data: bytes) -> None:
-        """Add bytes as they came from the connection."""
+        """Append bytes received from the connection."""
         self._buffer += data
 
     def next_reply(self) -> Reply | None:
-        """Return the next complete reply, or None until more data comes.
+        """Return the next complete reply, or None if more data is needed.
 
-        Raise CounterProtocolError as soon as the data can't become a reply.
+        Raise CounterProtocolError as soon as the data can't become a valid reply.
         """
         if not self._buffer:
             return None
         match = _REPLY.match(self._buffer)
         if match is None:
             if _INCOMPLETE_REPLY.fullmatch(self._buffer) is None:
-                raise CounterProtocolError(repr(self._buffer[:MAX_QUOTED_BYTES]))
+                raise CounterProtocolError(f"invalid reply {self._buffer[:MAX_QUOTED_BYTES]!r}")
             return None
         self._buffer = self._buffer[match.end() :]
         return _parse_reply(match)
 
 
 def _parse_reply(match: re.Match[bytes]) -> Reply:
-    """Return the reply that _REPLY has matched; CounterProtocolError if its content is invalid."""
+    """Return the matched reply; raise CounterProtocolError if its content is invalid."""
     length, number, error = match.groups()
     if error is not None:
         if _KNOWN_ERROR.fullmatch(error) is None:
-            # a garbled error doesn't prove that nothing was added
-            raise CounterProtocolError(repr(match[0]))
+            # a malformed error doesn't prove that nothing was added
+            raise CounterProtocolError(f"invalid reply {match[0]!r}")
         return ErrorReply(error)
     if len(number) != int(length) or _DECIMAL_NUMBER.fullmatch(number) is None:
-        raise CounterProtocolError(repr(match[0]))
+        raise CounterProtocolError(f"invalid reply {match[0]!r}")
     total = float(number)
     if not math.isfinite(total):
-        raise CounterProtocolError(repr(match[0]))
+        raise CounterProtocolError(f"invalid reply {match[0]!r}")
     return TotalReply(total)
