--- a/sumacpost/upstream/attempt.py
+++ b/sumacpost/upstream/attempt.py
@@ -47,13 +47,12 @@
     started_at_ms: float  # ms, on the clock of the owner
     retryable: bool = True  # another attempt may follow even if the backend ran this one
     state: AttemptState = AttemptState.CREATED
-    outcome: Outcome | None = None  # set by the owner
+    outcome: Outcome | None = None  # set by the owner when the attempt has ended
     written: bool = False  # bytes of the request have been passed to a connection
     pool: AttemptQueue | None = None
     connection: AttemptConnection | None = None  # None unless the attempt is in flight
-    connect_task: asyncio.Task[None] | None = (
-        None  # None once connecting can no longer be cancelled
-    )
+    # The task that connects for the attempt; None once connecting can no longer be cancelled.
+    connect_task: asyncio.Task[None] | None = None
 
     @property
     def may_have_run(self) -> bool:
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -1,4 +1,4 @@
-"""The outcome of an attempt: every row of the protocol's table, over loopback."""
+"""The outcome of an attempt over loopback, for every row of the protocol's table."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
             ),
             Outcome.OK,
         ),
-        # an orderly end of the connection ends the body; a reset: test_unbounded_responses.py
+        # an orderly close ends the body; test_unbounded_responses.py covers resets
         (send_bytes(b"HTTP/1.1 200 OK\r\n\r\ndone"), Outcome.OK),
         (send_bytes(b"SSH-2.0-nonsense\r\n", close=False), Outcome.RESET),
         (send_bytes(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 70_000, close=False), Outcome.RESET),
@@ -58,7 +58,7 @@
         ),
     ],
 )
-def test_each_response_has_its_outcome(script: Script, outcome: Outcome) -> None:
+def test_outcome_follows_from_the_response(script: Script, outcome: Outcome) -> None:
     async def test() -> None:
         async with Peer(script) as peer:
             got, response = await AttemptRecorder(peer.port).outcome()
@@ -70,7 +70,7 @@
     run(test())
 
 
-def test_an_attempt_on_a_refused_connection_has_not_run() -> None:
+def test_refused_connection_gives_connect_failed() -> None:
     async def test() -> None:
         peer = Peer(never_respond)
         await peer.start()
@@ -81,8 +81,8 @@
     run(test())
 
 
-def test_a_connection_that_never_comes_up_times_out() -> None:
-    """A full backlog swallows what comes: the connection neither comes up nor is refused."""
+def test_connection_attempt_times_out() -> None:
+    """With a full backlog, a connection is neither established nor refused."""
 
     async def test() -> None:
         with socket.socket() as listener:
@@ -102,17 +102,19 @@
     run(test())
 
 
-def test_a_reset_before_the_last_byte_is_a_failed_connect_and_after_it_a_reset() -> None:
+def test_reset_gives_connect_failed_before_the_last_byte_and_reset_after_it() -> None:
+    """A backend can't have run a request that was not completely written when it was reset."""
+
     async def test() -> None:
-        async def half(reader: asyncio.StreamReader) -> bytes:
+        async def read_half(reader: asyncio.StreamReader) -> bytes:
             return await reader.readexactly(10)
 
-        async def hang_up(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
+        async def reset(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
 
-        async with Peer(hang_up, half) as peer:
+        async with Peer(reset, read_half) as peer:
             outcomes = AttemptRecorder(peer.port)
-            # more than the kernel's buffers take: the peer goes while some is to be written
+            # exceeds the kernel buffers, so that the reset arrives while bytes are unwritten
             assert (await outcomes.outcome(b"x" * 50_000_000))[0] is Outcome.CONNECT_FAILED
             assert (await outcomes.outcome(b"x" * 10))[0] is Outcome.RESET
 
--- a/tests/upstream/test_connection_races.py
+++ b/tests/upstream/test_connection_races.py
@@ -1,4 +1,4 @@
-"""Two events that cross at a backend's connection. docs/crossings.md lists these pairs."""
+"""Races between two events at a connection to a backend. docs/crossings.md lists the pairs."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 @pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.GONE])
-def test_a_waiting_attempt_is_skipped_once_its_backend_drains_or_is_gone(
+def test_waiting_attempt_is_skipped_when_its_backend_drains_or_is_removed(
     state: EndpointStatus, connection_gate: ConnectionGate
 ) -> None:
-    """A connect timeout may be longer than the grace of a drain."""
+    """A connect timeout may exceed the grace period of a drain, so the attempt must not wait."""
 
     async def test() -> None:
         async with Peer(respond()) as peer:
@@ -37,7 +37,7 @@
             outcomes.backends.apply_update(
                 EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(1, state)])
             )
-            assert not attempt.ended  # the list is taken in first
+            assert not attempt.ended  # the whole list is applied first
             connection_gate.open()
             await until(lambda: attempt.ended and outcomes.backends.open_connections == 0)
             assert [(a, o) for a, o, _ in outcomes.ended] == [(attempt, Outcome.SKIPPED)]
@@ -47,7 +47,7 @@
     run(test())
 
 
-def test_a_waiting_attempt_is_skipped_once_its_backend_has_moved(
+def test_waiting_attempt_is_skipped_when_its_backend_moves(
     connection_gate: ConnectionGate,
 ) -> None:
     async def test() -> None:
@@ -64,16 +64,16 @@
     run(test())
 
 
-def test_a_connection_that_came_up_as_its_backend_was_removed_is_closed(
+def test_connection_established_while_its_backend_is_removed_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Connecting can't be cancelled any more at that point."""
+    """The pool has to close it, since connecting can no longer be cancelled at that point."""
 
     async def test() -> None:
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
 
-            class Leaving(BackendConnection):
+            class RemovingConnection(BackendConnection):
                 def __init__(self, pool: ConnectionPool, sock: socket.socket) -> None:
                     super().__init__(pool, sock)
                     assert attempt.connect_task is None
@@ -82,7 +82,7 @@
                         EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(1, EndpointStatus.GONE)])
                     )
 
-            monkeypatch.setattr("sumacpost.upstream.pool.BackendConnection", Leaving)
+            monkeypatch.setattr("sumacpost.upstream.pool.BackendConnection", RemovingConnection)
             attempt = outcomes.start()
             await until(lambda: attempt.ended and outcomes.backends.open_connections == 0)
             assert outcomes.ended[0][1] is Outcome.SKIPPED
@@ -91,10 +91,10 @@
     run(test())
 
 
-def test_a_request_whose_backend_drains_while_it_connects_goes_to_another(
+def test_request_goes_to_another_backend_if_the_first_drains_during_the_connect(
     connection_gate: ConnectionGate,
 ) -> None:
-    """Whatever its class: it has not run."""
+    """A retry is allowed for every request class, since the request has not run."""
 
     async def test() -> None:
         changes: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
@@ -133,7 +133,7 @@
 
 
 def peek(writer: asyncio.StreamWriter) -> bytes | None:
-    """Return what a peer sees at this moment: b"" is an end, None is silence."""
+    """Return the next byte that the peer would read: b"" at the end of the stream, None if none."""
     descriptor = socket.dup(writer.transport.get_extra_info("socket").fileno())
     with socket.socket(fileno=descriptor) as sock:
         try:
@@ -146,10 +146,14 @@
     "cut",
     [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", b"noise that is no response\r\n\r\n"],
 )
-def test_an_attempt_has_ended_for_its_backend_before_the_next_is_written(
+def test_first_connection_is_shut_down_before_the_next_attempt_is_written(
     cut: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without hedging the first connection is shut down at once, not in the loop's next turn."""
+    """Without hedging, two attempts must not overlap.
+
+    The transport closes its socket only in the next iteration of the event loop, so the connection
+    has to shut the socket down itself.
+    """
 
     async def test() -> None:
         seen: list[bytes | None] = []
@@ -166,10 +170,12 @@
                 other.script = respond()
             writer.write(cut)
 
-        alone: dict[str, Any] = {"permissions": SETTINGS["permissions"] | {"parallel_tries": False}}
-        async with running_ingress(never_respond, never_respond, settings=alone) as ingress:
+        no_hedging: dict[str, Any] = {
+            "permissions": SETTINGS["permissions"] | {"parallel_tries": False}
+        }
+        async with running_ingress(never_respond, never_respond, settings=no_hedging) as ingress:
             client = await ingress.client()
-            for number in range(2):  # a standing connection to each
+            for number in range(2):  # opens a connection to each backend
                 other = await ingress.client()
                 other.write(request("ledger-read", number, Request_Timeout="20.000"))
                 await ingress.wait_for_requests(number + 1)
@@ -195,10 +201,10 @@
         (b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", Outcome.REJECTED),
     ],
 )
-def test_a_response_to_a_partly_written_request_closes_the_connection(
+def test_response_to_a_partly_written_request_closes_the_connection(
     early_response: bytes, outcome: Outcome
 ) -> None:
-    """The rest of the request would be read as the beginning of the next one."""
+    """If it were reused, the rest of the request would be read as the start of the next one."""
 
     async def test() -> None:
         async def first_bytes(reader: asyncio.StreamReader) -> bytes:
@@ -218,8 +224,12 @@
     run(test())
 
 
-def test_a_connection_is_not_reused_before_a_second_response_would_have_come() -> None:
-    """Such responses came up to 4 ms later, by a clock of whole milliseconds; 7 ms are too few."""
+def test_connection_is_not_reused_while_a_second_response_may_arrive() -> None:
+    """A second response would be taken for that to the next request.
+
+    Such responses came up to 4 ms after the first, on a clock with a resolution of 1 ms; an idle
+    time of 7 ms is too short.
+    """
 
     async def test() -> None:
         async with Peer(respond()) as peer:
@@ -227,7 +237,7 @@
             await outcomes.outcome()
             (connection,) = outcomes.backends._pools[1].idle
             connection.idle_since = asyncio.get_running_loop().time() - 0.007
-            assert outcomes.start().connection is None  # it gets a connection of its own
+            assert outcomes.start().connection is None  # it gets a new connection
             connection.idle_since = asyncio.get_running_loop().time() - 0.02
             assert outcomes.start().connection is connection
             await until(lambda: len(outcomes.ended) == 3)
@@ -235,8 +245,8 @@
     run(test())
 
 
-def test_an_attempt_cancelled_after_its_backend_moved_is_never_written() -> None:
-    """It waited on in the pool that had been replaced, and was sent after its end."""
+def test_attempt_cancelled_after_its_backend_moved_is_never_written() -> None:
+    """A cancelled attempt was written if it was still queued in a pool that had been replaced."""
 
     async def test() -> None:
         async with Peer(never_respond) as peer:
@@ -256,7 +266,7 @@
     run(test())
 
 
-def test_a_backend_that_has_restarted_gets_new_connections() -> None:
+def test_restarted_backend_gets_new_connections() -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
--- a/tests/upstream/test_forwarding.py
+++ b/tests/upstream/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests and responses forwarded by a running ingress: retries, deadlines, disconnects."""
+"""Forwarding by a running ingress: retries, deadlines and disconnects."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 NOT_STARTED = b"Not-Started: 1\r\n"
 
 
-def test_a_good_response_is_forwarded_unchanged() -> None:
+def test_successful_response_is_forwarded_unchanged() -> None:
     async def test() -> None:
         body = bytes(range(256)) * 200
         async with running_ingress(
@@ -48,7 +48,7 @@
         ("payment-book", send_bytes(b""), 429, 3),
     ],
 )
-def test_attempts_go_as_far_as_the_class_allows(
+def test_request_class_limits_the_attempts(
     cls: str, script: Script, status: int, sent: int
 ) -> None:
     async def test() -> None:
@@ -62,22 +62,22 @@
 @pytest.mark.parametrize(
     ("cls", "status"), [("vat-filing", 502), ("ledger-read", 429), ("payment-book", 429)]
 )
-def test_a_silent_backend_is_answered_for_before_the_clients_deadline(
+def test_client_gets_a_response_before_its_deadline_if_the_backend_is_silent(
     cls: str, status: int
 ) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         async with running_ingress(never_respond) as ingress:
-            began = loop.time()
+            started_at = loop.time()
             assert (await ingress.send(request(cls, Request_Timeout="0.400"))).status == status
-            assert loop.time() - began < 0.4
+            assert loop.time() - started_at < 0.4
             await until(lambda: ingress.backends[0].closed == 1)
-            assert len(ingress.backends[0].requests) == 1  # nothing is tried in the last moment
+            assert len(ingress.backends[0].requests) == 1  # no retry just before the deadline
 
     run(test())
 
 
-def test_a_client_that_disconnects_ends_its_attempt() -> None:
+def test_client_disconnect_cancels_the_attempt() -> None:
     async def test() -> None:
         async with running_ingress(never_respond) as ingress:
             client = await ingress.client()
@@ -89,7 +89,7 @@
     run(test())
 
 
-def test_a_rejected_request_gets_a_retry_after() -> None:
+def test_rejection_has_a_retry_after_header() -> None:
     async def test() -> None:
         async with running_ingress(respond()) as ingress:
             client = await ingress.client()
--- a/tests/upstream/test_http1.py
+++ b/tests/upstream/test_http1.py
@@ -1,4 +1,4 @@
-"""Responses of backends, valid and invalid."""
+"""Valid and invalid responses of backends."""
 
 from __future__ import annotations
 
@@ -13,17 +13,19 @@
 
 
 @pytest.mark.parametrize(
-    "behind",
+    "trailing",
     [OK_RESPONSE, b"noise", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", b"\x00\xff"],
 )
 @pytest.mark.parametrize("together", [True, False])
-def test_bytes_behind_a_complete_response_answer_no_request(behind: bytes, together: bool) -> None:
+def test_bytes_after_a_complete_response_are_no_response_to_the_next_request(
+    trailing: bytes, together: bool
+) -> None:
     async def test() -> None:
         async def script(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
-            writer.write(OK_RESPONSE + behind if together else OK_RESPONSE)
+            writer.write(OK_RESPONSE + trailing if together else OK_RESPONSE)
             if not together:
                 await asyncio.sleep(0.001)
-                writer.write(behind)
+                writer.write(trailing)
 
         async with running_ingress(script) as ingress:
             client = await ingress.client()
@@ -51,15 +53,15 @@
         b"HTTP/1.1 100 Continue\r\n\r\n" * 700,
     ],
 )
-def test_an_invalid_response_is_a_reset_at_once_on_an_open_connection(invalid: bytes) -> None:
-    """A request that is not idempotent fails early, and its connection is not reused."""
+def test_invalid_response_on_an_open_connection_is_a_reset_immediately(invalid: bytes) -> None:
+    """The request, which is not idempotent, fails early and the connection is not reused."""
 
     async def test() -> None:
         async with running_ingress(send_bytes(invalid, close=False)) as ingress:
             client = await ingress.client()
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             assert (await client.send(request(Request_Timeout="20.000"))).status == 502
-            assert asyncio.get_running_loop().time() - began < 5
+            assert asyncio.get_running_loop().time() - started_at < 5
             ingress.backends[0].script = respond()
             assert (await client.send(request(number=2))).status == 200
             assert ingress.backends[0].connections == 2
@@ -74,8 +76,8 @@
         b"Transfer-Encoding: chunked\r\n\r\n61a80\r\n%b\r\n0\r\n\r\n",
     ],
 )
-def test_a_response_may_be_larger_than_the_bound_on_requests(framed: bytes) -> None:
-    """Thousands of good responses of 128 to 400 KB were once rejected."""
+def test_response_may_exceed_the_size_limit_of_requests(framed: bytes) -> None:
+    """With the limit of requests, thousands of valid responses of 128 to 400 KB were rejected."""
     body = bytes(range(250)) * 1600
 
     async def test() -> None:
@@ -87,20 +89,20 @@
     run(test())
 
 
-def test_a_request_that_is_not_idempotent_avoids_an_idle_age_that_was_reset() -> None:
-    """Of connections idle for over 0.1 s a third were reset at the next request."""
+def test_non_idempotent_request_avoids_connections_idle_as_long_as_a_reset_one() -> None:
+    """A third of the connections idle for over 0.1 s were reset at their next request."""
 
     async def test() -> None:
         used: set[asyncio.StreamWriter] = set()
 
-        async def once(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
+        async def respond_once(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
             if writer in used:
                 writer.transport.abort()
             else:
                 used.add(writer)
                 writer.write(OK_RESPONSE)
 
-        async with running_ingress(once) as ingress:
+        async with running_ingress(respond_once) as ingress:
             client = await ingress.client()
             for number, cls in enumerate(
                 ("ledger-read", "ledger-read", "vat-filing", "vat-filing")
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -28,7 +28,7 @@
         (b"\xff=1,backlog=2,utilization=1", ()),
     ],
 )
-def test_a_load_report_is_read_completely_or_not_at_all(
+def test_partly_invalid_load_report_is_ignored(
     report: bytes | None, values: tuple[float, ...]
 ) -> None:
     assert LoadReportReader(("utilization", "backlog")).read(report) == values
@@ -40,7 +40,7 @@
         (b"3", 3.0),
         (b"0.25", 0.25),
         (b"8", 8.0),
-        (b"8.5", 0.0),  # more than a request can have
+        (b"8.5", 0.0),  # exceeds max_units
         (b"", 0.0),
         (b"-1", 0.0),
         (b"1e1", 0.0),
@@ -48,12 +48,12 @@
         (b" 3", 0.0),
     ],
 )
-def test_billed_units_are_a_number_that_a_request_can_have(header: bytes, units: float) -> None:
+def test_invalid_billed_units_are_read_as_unknown(header: bytes, units: float) -> None:
     assert read_billed_units(header, max_units=8.0) == units
 
 
 @pytest.mark.parametrize("status", [200, 500])
-def test_any_response_may_bring_a_load_report(status: int) -> None:
+def test_load_report_is_read_from_responses_of_any_status(status: int) -> None:
     async def test() -> None:
         report = respond(
             status=status, head=b"Server-Load: backlog=0,throughput=6.0,utilization=0.6\r\n"
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""Connection pools: reuse, attempts that wait, cancelling, and the bound on connections."""
+"""Connection pools: reuse, waiting attempts, cancellation, and the connection limit."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
     run(test())
 
 
-def test_a_connection_that_the_peer_closed_is_never_reused() -> None:
-    """Nor in the moment before the loop has read that: a request would end as a reset."""
+def test_connection_closed_by_the_peer_is_never_reused() -> None:
+    """A request written before the event loop has read the end of the stream would be reset."""
 
     async def test() -> None:
         async with Peer(respond()) as peer:
@@ -46,7 +46,7 @@
             await outcomes.outcome()
             connection = outcomes.backends._pools[1].idle[-1]
             assert connection.is_usable()
-            # the close happens at the other end while this loop does nothing else
+            # the peer closes while the event loop does not run
             other = peer.writers[0].transport.get_extra_info("socket")
             socket.socket(fileno=socket.dup(other.fileno())).shutdown(socket.SHUT_RDWR)
             assert not connection.is_usable()
@@ -56,7 +56,7 @@
     run(test())
 
 
-def test_a_connection_that_becomes_free_serves_a_waiting_attempt(
+def test_connection_that_becomes_idle_serves_a_waiting_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -81,15 +81,18 @@
     run(test())
 
 
-def test_a_new_connection_serves_the_attempt_it_was_opened_for() -> None:
-    """One that served an older attempt left its own waiting, if the other connection failed."""
+def test_new_connection_serves_the_attempt_that_it_was_opened_for() -> None:
+    """A connection must not serve an older attempt instead.
+
+    If the connection of the older attempt failed, the newer attempt was left without a connection.
+    """
 
     async def test() -> None:
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
             pool = outcomes.backends._pools[1]
             first = Attempt(None, 0, 1, lambda: PAYLOAD, 0.0)
-            pool.waiting.append(first)  # its connection has not come up yet
+            pool.waiting.append(first)  # its connection is still being established
             assert (await outcomes.outcome())[0] is Outcome.OK
             await until(lambda: first.ended)  # after the reuse delay
             pool._on_connect_failed(first)
@@ -99,12 +102,12 @@
     run(test())
 
 
-def test_a_peer_that_resets_at_once_leaves_no_attempt_waiting() -> None:
+def test_immediate_reset_leaves_no_attempt_waiting() -> None:
     async def test() -> None:
-        async def hang_up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
 
-        server = await asyncio.start_server(hang_up, "127.0.0.1", 0)
+        server = await asyncio.start_server(reset, "127.0.0.1", 0)
         outcomes = AttemptRecorder(server.sockets[0].getsockname()[1])
         for _ in range(20):
             assert (await outcomes.outcome())[0] in (Outcome.CONNECT_FAILED, Outcome.RESET)
@@ -128,14 +131,13 @@
     run(test())
 
 
-def test_an_attempt_cancelled_while_it_connects_is_never_written() -> None:
+def test_attempt_cancelled_during_the_connect_is_never_written() -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
             outcomes.backends.cancel(outcomes.start())
-            await until(
-                lambda: outcomes.backends.open_connections == 0
-            )  # nor is its connection waited for
+            # connecting is cancelled as well
+            await until(lambda: outcomes.backends.open_connections == 0)
             assert (await outcomes.outcome())[0] is Outcome.OK
             assert len(peer.requests) == 1
             assert len(outcomes.ended) == 1
@@ -157,8 +159,8 @@
     run(test())
 
 
-def test_connections_to_backends_are_bounded() -> None:
-    """At the bound an idle one is evicted; with none idle the new one is not opened."""
+def test_connections_to_backends_are_limited() -> None:
+    """At the limit, an idle connection is evicted; without an idle one, no connection is opened."""
 
     async def test() -> None:
         peers = [Peer(never_respond), Peer(respond())]
@@ -181,8 +183,8 @@
     run(test())
 
 
-def test_a_backend_that_moves_gets_requests_at_its_new_address() -> None:
-    """Nothing goes to the old address any more."""
+def test_backend_that_moves_gets_requests_at_its_new_address() -> None:
+    """Connections to the old address must not be reused."""
 
     async def test() -> None:
         old, new = Peer(respond(b"old")), Peer(respond(b"new"))
--- a/tests/upstream/test_reuse_limit.py
+++ b/tests/upstream/test_reuse_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive limit on the idle time of connections that are reused."""
+"""The adaptive limit on the idle time of reused connections."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
     return ReuseLimit(BACKEND_IDLE_TIMEOUT_S)
 
 
-def test_the_limit_starts_well_below_the_backends_idle_timeout(limit: ReuseLimit) -> None:
+def test_limit_starts_well_below_the_backends_idle_timeout(limit: ReuseLimit) -> None:
     assert limit.max_reuse_idle_s == BACKEND_IDLE_TIMEOUT_S * IDLE_TIMEOUT_FRACTION
     assert limit.allows_non_retryable
 
 
-def test_a_stale_connection_puts_the_limit_below_its_idle_time(limit: ReuseLimit) -> None:
+def test_stale_connection_reduces_the_limit_below_its_idle_time(limit: ReuseLimit) -> None:
     limit.record_reset(idle_s=5.0, elapsed_s=AT_ONCE_S)
     assert limit.max_reuse_idle_s == pytest.approx(4.0)
-    limit.record_reset(idle_s=9.0, elapsed_s=AT_ONCE_S)  # older than the limit by then
+    limit.record_reset(idle_s=9.0, elapsed_s=AT_ONCE_S)  # longer than the limit at that point
     assert limit.max_reuse_idle_s == pytest.approx(3.2)
 
 
-def test_a_late_reset_is_not_taken_for_a_stale_connection(limit: ReuseLimit) -> None:
+def test_late_reset_does_not_change_the_limit(limit: ReuseLimit) -> None:
     before = limit.max_reuse_idle_s
     limit.record_reset(idle_s=5.0, elapsed_s=STALE_RESET_WINDOW_S)
     assert limit.max_reuse_idle_s == before
 
 
-def test_the_limit_has_a_minimum_that_is_not_trusted(limit: ReuseLimit) -> None:
+def test_limit_has_a_minimum_that_rules_out_non_retryable_attempts(limit: ReuseLimit) -> None:
     limit.record_reset(idle_s=0.0, elapsed_s=AT_ONCE_S)
     assert limit.max_reuse_idle_s == MIN_REUSE_IDLE_S
     assert not limit.allows_non_retryable
 
 
-def test_good_responses_restore_the_limit_little_by_little(limit: ReuseLimit) -> None:
+def test_successful_responses_raise_the_limit_gradually(limit: ReuseLimit) -> None:
     limit.record_reset(idle_s=NON_RETRYABLE_REUSE_IDLE_S, elapsed_s=AT_ONCE_S)
     reduced_s = limit.max_reuse_idle_s
     limit.record_success()
--- a/tests/upstream/test_stalled_responses.py
+++ b/tests/upstream/test_stalled_responses.py
@@ -1,4 +1,4 @@
-"""Responses that never come, or stop half way, on connections that stay open."""
+"""Responses that never begin, or stall halfway, on connections that stay open."""
 
 from __future__ import annotations
 
@@ -14,45 +14,45 @@
 from tests.support.peers import Peer, never_respond, respond
 
 HALF = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"
-LONG = "20.000"  # seconds: a client's timeout that no attempt may take
+LONG = "20.000"  # s, a client timeout that no attempt may use up
 
 
-async def half(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
+async def send_half(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
     writer.write(HALF)
 
 
 def first_only(script: Any) -> Any:
-    """Return a script for several backends: the first request of all meets the one given."""
-    met: list[bytes] = []
+    """Return a script for several backends that applies the given one to the first request only."""
+    received: list[bytes] = []
 
-    async def either(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
-        met.append(data)
-        await (script if len(met) == 1 else respond())(peer, data, writer)
+    async def script_by_order(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
+        received.append(data)
+        await (script if len(received) == 1 else respond())(peer, data, writer)
 
-    return either
+    return script_by_order
 
 
-def hasten(ingress: Any) -> None:
-    """Make the gateway expect short responses: an attempt is overdue soon."""
+def expect_short_responses(ingress: Any) -> None:
+    """Make the gateway expect short response times, so that attempts are soon overdue."""
     ingress.gateway.estimate.unit_ms = [5.0] * 3
     ingress.gateway.estimate.mean_work = 5.0
 
 
 @pytest.mark.parametrize("cls", ["ledger-read", "payment-book"])
-@pytest.mark.parametrize("script", [never_respond, half])
-def test_a_stalled_idempotent_request_is_hedged_long_before_its_deadline(
+@pytest.mark.parametrize("script", [never_respond, send_half])
+def test_stalled_idempotent_request_is_hedged_long_before_its_deadline(
     cls: str, script: Any
 ) -> None:
-    """It was waited for until the client's deadline, on one dead connection."""
+    """Without a hedged request, the ingress waited on one dead connection until the deadline."""
 
     async def test() -> None:
         loop, fleet = asyncio.get_running_loop(), first_only(script)
         async with running_ingress(fleet, fleet) as ingress:
-            hasten(ingress)
-            began = loop.time()
+            expect_short_responses(ingress)
+            started_at = loop.time()
             status, _, body = await ingress.send(request(cls, Request_Timeout=LONG))
             assert (status, body) == (200, b"done")
-            assert loop.time() - began < 10
+            assert loop.time() - started_at < 10
             assert sorted(len(b.requests) for b in ingress.backends) == [1, 1]
             ids = {
                 line
@@ -61,27 +61,27 @@
                 if b"request-id" in line.lower()
             }
             assert len(ids) == 1
-            # the silent one is not waited for any more
+            # the connection of the stalled attempt is closed
             await until(lambda: sum(b.closed for b in ingress.backends) == 1)
 
     run(test())
 
 
-def test_a_request_that_is_not_idempotent_is_sent_once() -> None:
+def test_non_idempotent_request_is_sent_once() -> None:
     async def test() -> None:
         async with running_ingress(never_respond, never_respond) as ingress:
-            hasten(ingress)
+            expect_short_responses(ingress)
             assert (await ingress.send(request(Request_Timeout="0.400"))).status == 502
             assert sum(len(b.requests) for b in ingress.backends) == 1
 
     run(test())
 
 
-def test_no_hedged_request_where_the_settings_allow_none() -> None:
+def test_no_hedged_request_if_the_settings_forbid_it() -> None:
     async def test() -> None:
-        alone = {"permissions": SETTINGS["permissions"] | {"parallel_tries": False}}
-        async with running_ingress(never_respond, never_respond, settings=alone) as ingress:
-            hasten(ingress)
+        no_hedging = {"permissions": SETTINGS["permissions"] | {"parallel_tries": False}}
+        async with running_ingress(never_respond, never_respond, settings=no_hedging) as ingress:
+            expect_short_responses(ingress)
             assert (
                 await ingress.send(request("ledger-read", Request_Timeout="0.400"))
             ).status == 429
@@ -90,12 +90,12 @@
     run(test())
 
 
-def test_a_silent_connection_does_not_keep_requests_from_its_backend() -> None:
-    """The backend responds on its other connections meanwhile."""
+def test_silent_connection_does_not_block_requests_to_its_backend() -> None:
+    """The backend still responds on its other connections."""
 
     async def test() -> None:
         async with running_ingress(first_only(never_respond)) as ingress:
-            hasten(ingress)
+            expect_short_responses(ingress)
             silent = await ingress.client()
             silent.write(request("vat-filing", 1, Request_Timeout=LONG))
             await until(lambda: len(ingress.backends[0].requests) == 1)
@@ -106,11 +106,11 @@
                 fleet_inflation = gateway.estimate.inflation.inflation(now)
                 return gateway.load_balancer.forecast(now, backend, call, fleet_inflation)
 
-            began = clock.now()
+            started_at = clock.now()
             await asyncio.sleep(0.5)
             assert forecast(clock.now()) > 400
             assert (await ingress.send(request("vat-filing", 2))).status == 200
-            assert began + 500 <= backend.responded_at + 1
+            assert started_at + 500 <= backend.responded_at + 1
             assert forecast(backend.responded_at + 1) < 400
 
     run(test())
--- a/tests/upstream/test_unbounded_responses.py
+++ b/tests/upstream/test_unbounded_responses.py
@@ -1,4 +1,4 @@
-"""Responses without a stated length: an orderly end completes them, a reset does not."""
+"""Responses without a stated length, which an orderly close completes and a reset does not."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def send_and_reset(data: bytes) -> Script:
-    """Return a script that writes these bytes, and resets the connection once they are read."""
+    """Return a script that writes the data, and resets the connection once it is read."""
 
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
@@ -43,7 +43,7 @@
         (send_bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone"), Outcome.RESET),
     ],
 )
-def test_outcome_of_a_response_that_ends_with_its_connection(
+def test_outcome_of_a_response_that_ends_when_its_connection_closes(
     script: Script, outcome: Outcome
 ) -> None:
     async def test() -> None:
@@ -59,8 +59,8 @@
     run(test())
 
 
-def test_a_pause_in_a_response_without_a_length_ends_it_as_stalled() -> None:
-    """Nothing else would show that the backend hangs in the middle of it."""
+def test_response_without_a_length_that_stalls_is_a_reset() -> None:
+    """A long pause is the only sign of a backend that hangs in the middle of the response."""
 
     async def test() -> None:
         async with Peer(send_bytes(HEAD + b"half", close=False)) as peer:
@@ -70,7 +70,7 @@
     run(test())
 
 
-def test_an_endpoint_list_without_a_length_is_read() -> None:
+def test_endpoint_list_without_a_length_is_read() -> None:
     async def test() -> None:
         async with Peer(respond(b"new")) as new_backend:
             targets = endpoint_list(9, endpoint_entry(new_backend, "s-new"))
