--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -1,4 +1,4 @@
-"""The client of the counter."""
+"""The counter client: replies, time-outs, reconnects and malformed data."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 TTL_MS = 1000.0
 
 
-def test_calls_are_pipelined_and_replied_to_in_their_order() -> None:
+def test_calls_are_pipelined_and_replies_keep_their_order() -> None:
     async def reply_to_three(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
         if len(peer.requests) == 3:
             writer.write(b"$3\r\n2.5\r\n-BUSY later\r\n$2\r\n")
@@ -49,7 +49,7 @@
     run(test())
 
 
-def test_late_reply_is_read_and_dropped() -> None:
+def test_reply_after_the_timeout_is_read_and_dropped() -> None:
     async def reply_with_the_second_call(
         peer: Peer, call: bytes, writer: asyncio.StreamWriter
     ) -> None:
@@ -77,12 +77,12 @@
         b"$1\r\n1\r\n$1\r\n1\r\n",
     ],
 )
-def test_client_connects_again_after_a_malformed_reply(malformed: bytes) -> None:
+def test_client_reconnects_after_a_malformed_reply(malformed: bytes) -> None:
     async def test() -> None:
         async with scripted_counter(send_bytes(malformed, close=False)) as (peer, recorded):
             recorded.client.call(CUSTOMER, 1.0, TTL_MS)
             (first,) = await recorded.outcomes(1)
-            assert first.outcome in (Outcome.TIMEOUT, Outcome.OK)  # it may have been added
+            assert first.outcome in (Outcome.TIMEOUT, Outcome.OK)  # the amount may have been added
             await until(lambda: peer.connections == 2)
             peer.script = send_bytes(b"$1\r\n5\r\n", close=False)
             await until(lambda: recorded.client.connected)
@@ -92,7 +92,7 @@
     run(test())
 
 
-def test_every_call_has_an_outcome_while_the_counter_is_down_and_after_its_return() -> None:
+def test_every_call_has_an_outcome_during_an_outage_of_the_counter_and_after_it() -> None:
     async def test() -> None:
         async with scripted_counter(never_respond) as (peer, recorded):
             recorded.client.call(7, 1.0, TTL_MS)
@@ -112,7 +112,7 @@
     run(test())
 
 
-def test_silent_connection_is_replaced_under_calls() -> None:
+def test_silent_connection_is_replaced_during_further_calls() -> None:
     async def test() -> None:
         async with scripted_counter(never_respond, 0.05) as (peer, recorded):
             while peer.connections < 2:
@@ -158,7 +158,7 @@
         b"$2\r\n5\r\n",
     ],
 )
-def test_malformed_reply_ends_its_call_at_once_as_possibly_added(malformed: bytes) -> None:
+def test_malformed_reply_ends_its_call_immediately_as_possibly_added(malformed: bytes) -> None:
     async def test() -> None:
         async with scripted_counter(send_bytes(malformed, close=False), 0.3) as (peer, recorded):
             called_at = time.monotonic()
@@ -178,7 +178,7 @@
     return connection is not None and not connection._unreplied and not connection._waiting
 
 
-def test_replies_for_one_customer_keep_their_order_across_a_change_of_address() -> None:
+def test_replies_for_one_customer_keep_their_order_after_a_change_of_address() -> None:
     async def test() -> None:
         new = Peer(send_bytes(b"$1\r\n2\r\n", close=False), read_counter_call)
         await new.start()
@@ -193,7 +193,7 @@
             recorded.client.call(CUSTOMER, 1.0, TTL_MS)
             recorded.client.call(OTHER_CUSTOMER, 1.0, TTL_MS)
             await until(lambda: len(recorded.replies) == 1)
-            # The second reply of the customer is held back until the first has come.
+            # The customer's second reply is delayed until the first has arrived.
             assert recorded.replies[0].name == OTHER_CUSTOMER
             old.writers[0].write(b"$1\r\n1\r\n")
             await until(lambda: len(recorded.replies) == 3)
@@ -203,8 +203,11 @@
     run(test())
 
 
-def test_connection_that_falls_silent_is_replaced_and_its_calls_are_lost() -> None:
-    """Found in issue 7: each silence lasted 0.25 s, and what was reported in it never counted."""
+def test_connection_that_becomes_silent_is_replaced_and_its_calls_are_lost() -> None:
+    """A connection on which replies stop has to be replaced, and its calls reported as lost.
+
+    Before the fix, each silence lasted 0.25 s, and amounts reported during it were never counted.
+    """
 
     async def reply_once(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
         if writer is not peer.writers[0] or len(peer.requests) == 1:
@@ -214,7 +217,7 @@
         async with scripted_counter(reply_once, 0.2) as (peer, recorded):
             recorded.client.call(7, 1.0, TTL_MS)
             assert await recorded.outcomes(1) == [(7, Outcome.OK, 4.0)]
-            recorded.client._reply_latency.seconds = 0.001  # however slow this machine was
+            recorded.client._reply_latency.seconds = 0.001  # independent of the machine's speed
             recorded.client.call(8, 1.0, TTL_MS)
             recorded.client.call(9, 1.0, TTL_MS)
             assert await recorded.outcomes(3) == [
@@ -230,7 +233,7 @@
 
 
 def test_slow_counter_keeps_its_connection() -> None:
-    """Its calls are added, only late: reported as lost, they would be added twice."""
+    """The amounts are added late. If the calls were reported as lost, they would be added twice."""
 
     async def reply_slowly(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.06)
--- a/tests/counter/test_resp.py
+++ b/tests/counter/test_resp.py
@@ -1,4 +1,4 @@
-"""The codec of the counter: calls out, replies in."""
+"""The codec of the counter: encoding of calls and decoding of replies."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
     return list(iter(decoder.next_reply, None))
 
 
-def test_a_call_is_an_array_of_bulk_strings() -> None:
+def test_call_is_an_array_of_bulk_strings() -> None:
     data = encode_addget(7, 2.5, 60_000.0)
     assert data == b"*4\r\n$6\r\nADDGET\r\n$1\r\n7\r\n$8\r\n2.500000\r\n$5\r\n60000\r\n"
 
 
 @pytest.mark.parametrize(("ttl_ms", "written"), [(0.0, b"1"), (0.4, b"1"), (999.6, b"1000")])
-def test_a_time_to_live_is_whole_milliseconds_and_at_least_one(
+def test_time_to_live_is_an_integer_of_at_least_one_millisecond(
     ttl_ms: float, written: bytes
 ) -> None:
     assert encode_addget(7, 1.0, ttl_ms).endswith(b"$%d\r\n%b\r\n" % (len(written), written))
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, len(STREAM)])
-def test_replies_are_the_same_however_the_bytes_are_split(decoder: ReplyDecoder, size: int) -> None:
+def test_replies_do_not_depend_on_how_the_bytes_are_split(decoder: ReplyDecoder, size: int) -> None:
     replies: list[Reply] = []
     for start in range(0, len(STREAM), size):
         decoder.receive_data(STREAM[start : start + size])
@@ -47,7 +47,7 @@
     assert not decoder.has_partial_reply
 
 
-def test_a_partial_reply_is_known_as_such_until_it_is_complete(decoder: ReplyDecoder) -> None:
+def test_partial_reply_is_reported_until_it_is_complete(decoder: ReplyDecoder) -> None:
     assert not decoder.has_partial_reply
     decoder.receive_data(b"$1\r")
     assert decoder.next_reply() is None
@@ -57,7 +57,7 @@
     assert not decoder.has_partial_reply
 
 
-def test_only_an_error_that_sheds_load_is_an_overload() -> None:
+def test_only_a_busy_error_is_an_overload() -> None:
     assert ErrorReply(b"BUSY").is_overload
     assert not ErrorReply(b"ERR no such call").is_overload
 
@@ -81,7 +81,9 @@
         b"-BUSY " + b"x" * 100,
     ],
 )
-def test_anything_else_is_an_error_as_soon_as_it_shows(decoder: ReplyDecoder, data: bytes) -> None:
+def test_invalid_data_raises_an_error_as_soon_as_it_is_invalid(
+    decoder: ReplyDecoder, data: bytes
+) -> None:
     decoder.receive_data(b"$1\r\n1\r\n" + data)
     assert decoder.next_reply() == TotalReply(1.0)
     with pytest.raises(CounterProtocolError):
--- a/tests/discovery/faults.py
+++ b/tests/discovery/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a discovery agent, and the time limits that hold once they have ended."""
+"""Faults of a discovery agent, and the time limits that apply once the faults have ended."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.support.discovery_agent import DiscoveryAgent, Entry
 from tests.support.peers import Peer, Script, never_respond, send_bytes
 
-# From when discovery has a change and can be reached: until it counts as known, and until requests
-# to a draining backend have to end.
+# Time limits, counted from when discovery has a change and can be reached: until the ingress has to
+# know the change, and until requests to a draining backend have to end.
 CHANGE_KNOWN_S = 6.0
 TOLERANCE_S = 0.05
 DRAIN_LIMIT_S = CHANGE_KNOWN_S + SETTINGS["safety"]["stop_sending_within"] / 1000 + TOLERANCE_S
@@ -20,7 +20,7 @@
 INVALID_LIST = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"
 SERVER_ERROR = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
 
-BeginFault = Callable[[DiscoveryAgent, Peer], Awaitable[None]]
+FaultInjector = Callable[[DiscoveryAgent, Peer], Awaitable[None]]
 
 
 async def refuse_connections(agent: DiscoveryAgent, peer: Peer) -> None:
@@ -28,16 +28,16 @@
     await peer.refuse()
 
 
-def inject(fault: Callable[[DiscoveryAgent], Script]) -> BeginFault:
-    """Return a fault that is a script for all polls."""
+def inject(fault: Callable[[DiscoveryAgent], Script]) -> FaultInjector:
+    """Return a fault that responds to all polls with a script."""
 
-    async def begin(agent: DiscoveryAgent, peer: Peer) -> None:
+    async def inject_script(agent: DiscoveryAgent, peer: Peer) -> None:
         agent.inject_fault(fault(agent))
 
-    return begin
+    return inject_script
 
 
-FAULTS: dict[str, BeginFault] = {
+FAULTS: dict[str, FaultInjector] = {
     "refused": refuse_connections,
     "silent": inject(lambda agent: never_respond),
     "truncated and closed": inject(lambda agent: agent.truncate_and_close),
@@ -51,7 +51,7 @@
 
 
 async def end_fault(agent: DiscoveryAgent, peer: Peer, *changes: Entry) -> None:
-    """Let discovery have the changes and be reachable; long polls stay ignored if they were."""
+    """End the fault, except that long polls stay ignored, and apply the changes in discovery."""
     if agent.fault != agent.ignore_long_polls:
         agent.fault = None
     agent.change(*changes)
@@ -59,8 +59,8 @@
         await peer.listen_again()
 
 
-async def failures(cases: Mapping[str, Awaitable[None]]) -> dict[str, str]:
-    """Run all cases side by side; return what went wrong, by the name of the case."""
+async def collect_failures(cases: Mapping[str, Awaitable[None]]) -> dict[str, str]:
+    """Run all cases concurrently; return the errors by the name of the case."""
     results = await asyncio.gather(*cases.values(), return_exceptions=True)
     return {
         name: f"{result!r} from {_place(result)}"
@@ -70,7 +70,7 @@
 
 
 def _place(error: BaseException) -> str:
-    """Return the last line of these tests that the error passed through."""
+    """Return the innermost line of these tests in the traceback of the error."""
     directory = Path(__file__).parent
     frames = [f for f in extract_tb(error.__traceback__) if Path(f.filename).parent == directory]
     return f"{Path(frames[-1].filename).name}:{frames[-1].lineno}"
--- a/tests/discovery/lists.py
+++ b/tests/discovery/lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists of numbered backends, and how tests read them."""
+"""Endpoint lists of numbered backends, and functions that read them."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from sumacpost.discovery.incremental_json import IncrementalJsonDecoder
 from tests.support.discovery_agent import Entry, endpoint_list
 
-CELL_SIZE = 30  # backends
-GATEWAYS = 6900  # of a large fleet
+CELL_SIZE = 30  # backends of a cell
+GATEWAYS = 6900  # gateways of a large fleet
 
 
 def numbered_entry(number: int, state: str = "active") -> Entry:
-    """Return the entry of one of many backends."""
+    """Return the entry of the backend with this number."""
     return {
         "uid": f"s-{number:08x}",
         "endpoint": f"127.0.{number >> 8 & 255}.{number & 255}:8081",
@@ -29,12 +29,12 @@
 
 
 def full_list(count: int, version: int = 41) -> dict[str, Any]:
-    """Return the full list of so many backends."""
+    """Return a full list of `count` backends."""
     return endpoint_list(version, *map(numbered_entry, range(count)))
 
 
 def changes(version: int, numbers: Iterable[int], state: str = "active") -> dict[str, Any]:
-    """Return a list of changes: these backends are in that state now."""
+    """Return a list of changes that sets the state of the numbered backends."""
     entries = [numbered_entry(number, state) for number in numbers]
     return endpoint_list(version, *entries, full=False)
 
@@ -44,13 +44,13 @@
     return json.dumps(value, indent=indent).encode()
 
 
-def pieces_of(data: bytes, size: int) -> Iterator[bytes]:
-    """Cut the data into pieces of so many bytes."""
+def split_into_pieces(data: bytes, size: int) -> Iterator[bytes]:
+    """Split the data into pieces of `size` bytes; the last may be shorter."""
     return (data[start : start + size] for start in range(0, len(data), size))
 
 
 def read_pieces(reader: EndpointListReader, pieces: Iterable[bytes]) -> EndpointList:
-    """Read and adopt a list that comes in pieces."""
+    """Read and adopt a list that is received in pieces."""
     parser = reader.new_parser()
     decoder = IncrementalJsonDecoder(parser)
     for piece in pieces:
--- a/tests/discovery/test_backoff.py
+++ b/tests/discovery/test_backoff.py
@@ -1,4 +1,4 @@
-"""How long the watch waits after failures, and when it limits what it receives."""
+"""The delays of the watch after failures, and its limit on received bytes."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
     return watch._backoff
 
 
-def test_the_delay_after_failed_responses_doubles_up_to_what_the_limit_on_drains_leaves(
+def test_delay_after_failed_responses_doubles_to_a_bound_within_the_drain_limit(
     backoff: PollBackoff,
 ) -> None:
     delays = [backoff.next_delay(100, malformed=True, now=0.0) for _ in range(12)]
     for number, delay in enumerate(delays):
         longest = min(MAX_RECONNECT_DELAY_S, 0.1 * 2**number)
         assert longest / 2 <= delay <= longest
-    # A change must be known after 6 s.
+    # A change must be known to the ingress after 6 s.
     assert MAX_RECONNECT_DELAY_S + RESPONSE_TIMEOUT_S + 1 < 6
 
 
-def test_short_lists_begin_no_limit_and_missing_responses_no_backoff(backoff: PollBackoff) -> None:
+def test_short_lists_start_no_limit_and_missing_responses_no_backoff(backoff: PollBackoff) -> None:
     for _ in range(12):
         backoff.next_delay(100, malformed=True, now=0.0)
     assert not backoff.is_limited(0.0)
     assert backoff.next_delay(0, malformed=False, now=0.0) == 0.1
 
 
-def test_a_long_list_may_break_off_once_and_begins_limits_that_double_after_that(
+def test_second_truncated_long_list_starts_limits_that_double(
     watch: DiscoveryWatch, backoff: PollBackoff
 ) -> None:
     backoff.next_delay(15_000_000, malformed=False, now=0.0)
--- a/tests/discovery/test_drain_time_limit.py
+++ b/tests/discovery/test_drain_time_limit.py
@@ -1,27 +1,27 @@
-"""A drain is known to the ingress in time, whatever faults the discovery agent had before."""
+"""The ingress knows of a drain in time, regardless of earlier faults of the discovery agent."""
 
 from __future__ import annotations
 
 import asyncio
 from contextlib import suppress
 
-from tests.discovery.faults import DRAIN_LIMIT_S, FAULTS, BeginFault, end_fault, failures
+from tests.discovery.faults import DRAIN_LIMIT_S, FAULTS, FaultInjector, collect_failures, end_fault
 from tests.support.discovery_agent import DiscoveryAgent, endpoint_entry, parse_poll
 from tests.support.event_loop import run, until
 from tests.support.http_client import request
 from tests.support.ingress import running_ingress
 from tests.support.peers import Peer, Script, respond, write_if_open
 
-# How long a fault lasts, and whether full lists leave out what drains. The long ones are of several
-# lengths: a delay that doubles without a bound (from 0.2 s on, say) has just begun to be too long
-# at the end of some.
+# Duration of a fault in seconds, and whether responses are full lists without draining backends.
+# There are several long durations, so that a delay that doubles without limit (from 0.2 s, for
+# example) has just become too long at the end of some of them.
 DURATIONS = ((0.3, False), (0.3, True), (8.0, False), (9.0, True), (13.0, False))
 
 
 async def check_drain_after_fault(
-    begin_fault: BeginFault, duration_s: float, full_lists: bool
+    inject_fault: FaultInjector, duration_s: float, full_lists: bool
 ) -> None:
-    """When the fault ends the one backend drains, and another is there in its place."""
+    """Replace the only backend at the end of a fault; check that the ingress follows in time."""
     new = Peer(respond(b"new"))
     agent = DiscoveryAgent(full_lists)
     await new.start()
@@ -29,7 +29,7 @@
         (old,) = ingress.backends
         agent.publish(endpoint_entry(old, "s-0"))
         await until(lambda: bool(agent.held_polls))
-        await begin_fault(agent, ingress.discovery)
+        await inject_fault(agent, ingress.discovery)
         await asyncio.sleep(duration_s)
         client = await ingress.client()
         assert (await client.send(request(number=1))).body == b"old"
@@ -53,28 +53,28 @@
     new.stop()
 
 
-def test_a_drain_is_known_in_time_whatever_fault_ended_before() -> None:
-    """Six seconds after discovery had the drain and could be reached it counts as known.
+def test_drain_is_known_in_time_after_any_fault() -> None:
+    """The ingress has to know a drain 6 s after discovery has it and can be reached.
 
-    Each fault begins while a poll is held. The short ones test what the ingress does about the poll
-    that was open, the long ones what it does after many polls have failed.
+    Each fault starts while a poll is held. The short faults test how the ingress treats the open
+    poll, the long ones how it treats many failed polls.
     """
     cases = {
         f"{name}, for {duration_s} s, {'full lists' if full_lists else 'changes'}": (
-            check_drain_after_fault(begin_fault, duration_s, full_lists)
+            check_drain_after_fault(inject_fault, duration_s, full_lists)
         )
-        for name, begin_fault in FAULTS.items()
+        for name, inject_fault in FAULTS.items()
         for duration_s, full_lists in DURATIONS
     }
 
     async def test() -> None:
-        assert await failures(cases) == {}
+        assert await collect_failures(cases) == {}
 
     run(test())
 
 
-def trickle(agent: DiscoveryAgent, pieces: int, pause_s: float) -> Script:
-    """Return a script that follows the protocol, but sends each response in so many pieces."""
+def respond_slowly(agent: DiscoveryAgent, pieces: int, pause_s: float) -> Script:
+    """Return a script that follows the protocol, but sends each response slowly, in pieces."""
 
     async def script(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
         poll = parse_poll(data)
@@ -91,15 +91,15 @@
     return script
 
 
-async def check_drain_that_trickles(pieces: int, pause_s: float) -> None:
+async def check_drain_in_slow_list(pieces: int, pause_s: float) -> None:
     new = Peer(respond(b"new"))
     agent = DiscoveryAgent()
     await new.start()
-    discovery = trickle(agent, pieces, pause_s)
+    discovery = respond_slowly(agent, pieces, pause_s)
     async with running_ingress(respond(b"old"), discovery=discovery) as ingress:
         (old,) = ingress.backends
         agent.publish(endpoint_entry(old, "s-0"))
-        await asyncio.sleep(2.0)  # polls end without a change, and their responses trickle too
+        await asyncio.sleep(2.0)  # polls without a change, whose responses are slow as well
         agent.change(endpoint_entry(old, "s-0", "leaving"), endpoint_entry(new, "s-1"))
         client = await ingress.client()
         number = 1
@@ -110,14 +110,17 @@
     new.stop()
 
 
-def test_a_list_that_trickles_in_is_known_in_time() -> None:
-    """A poll given up as its response took long is followed by one like it: it must be awaited."""
+def test_slow_list_is_known_in_time() -> None:
+    """A slow response must be awaited.
+
+    If the ingress abandoned it, the response to the next poll would be as slow.
+    """
     cases = {
-        f"{pieces} pieces, one in {pause_s} s": check_drain_that_trickles(pieces, pause_s)
+        f"{pieces} pieces, one in {pause_s} s": check_drain_in_slow_list(pieces, pause_s)
         for pieces, pause_s in ((8, 0.01), (8, 0.05), (8, 0.1), (20, 0.1))
     }
 
     async def test() -> None:
-        assert await failures(cases) == {}
+        assert await collect_failures(cases) == {}
 
     run(test())
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Lists of any length and shape: what is held stays bounded; an invalid list changes nothing."""
+"""Endpoint lists of any size and form: memory stays bounded, invalid lists change nothing."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     encode,
     full_list,
     numbered_entry,
-    pieces_of,
     read_pieces,
+    split_into_pieces,
 )
 from tests.support.builders import (
     KEYED_CELL_CLASS,
@@ -38,13 +38,12 @@
 
 @pytest.fixture
 def reader() -> EndpointListReader:
-    """The reader of the only gateway."""
     return EndpointListReader((), ())
 
 
 @pytest.mark.parametrize("size", [1, 7, 500, 100_000])
 @pytest.mark.parametrize("indent", [None, 4])
-def test_a_list_reads_the_same_in_pieces_of_any_size(size: int, indent: int | None) -> None:
+def test_result_does_not_depend_on_the_size_of_the_pieces(size: int, indent: int | None) -> None:
     raw = full_list(20)
     reordered = {key: raw[key] for key in ("targets", "all", "rev")}
     reordered["more"] = [{"uid": [1, {}]}, None]
@@ -52,16 +51,16 @@
     expected = EndpointListReader((), ()).read(encode(raw))
     assert len(expected.update.entries) == len(expected.addresses) == 20
     for form in (raw, reordered):
-        pieces = pieces_of(encode(form, indent), size)
+        pieces = split_into_pieces(encode(form, indent), size)
         assert read_pieces(EndpointListReader((), ()), pieces) == expected
 
 
-def test_only_the_gateways_partition_of_a_long_list_is_held_at_any_time() -> None:
+def test_only_the_partition_of_the_gateway_is_stored_at_any_time() -> None:
     reader = EndpointListReader((), (), GATEWAYS, 77)
     parser = reader.new_parser()
     decoder = IncrementalJsonDecoder(parser)
     most_stored = 0
-    for piece in pieces_of(encode(full_list(20_000)), 8192):
+    for piece in split_into_pieces(encode(full_list(20_000)), 8192):
         decoder.feed(piece)
         most_stored = max(most_stored, parser.stored_count)
     decoder.finish()
@@ -72,14 +71,14 @@
     assert {entry.backend for entry in update.entries} == set(addresses)
     assert all(parser.partition.holds(entry.backend) for entry in update.entries)
 
-    # Of the changes that follow, only those to the partition are held either.
+    # The same applies to the changes that follow.
     changed = reader.read(encode(changes(42, range(20_000, 20_640), "leaving"))).update
     assert changed.partition_count == 32
     assert 3 <= len(changed.entries) <= 60
     assert not reader.needs_repartitioning
 
 
-def test_the_partitions_of_all_gateways_together_hold_the_whole_list() -> None:
+def test_partitions_of_all_gateways_cover_the_whole_list() -> None:
     held = [
         EndpointListReader((), (), GATEWAYS, index).read(encode(full_list(2000))).addresses
         for index in (0, 1)
@@ -87,8 +86,11 @@
     assert {*held[0], *held[1]} == {backend_id(f"s-{number:08x}") for number in range(2000)}
 
 
-def test_deduplication_peers_are_held_and_followed_for_each_cell_of_the_partition() -> None:
-    """Of the thirty backends of a cell the partition has one at most: keyed retries need others."""
+def test_deduplication_peers_are_stored_and_updated_for_each_cell_of_the_partition() -> None:
+    """Retries of keyed requests need deduplication peers.
+
+    A partition contains at most one of the thirty backends of a cell.
+    """
     reader = EndpointListReader((), (), GATEWAYS, 77, has_cell_scope=True)
     update = reader.read(encode(full_list(33_000))).update
     partition = reader.new_parser().partition
@@ -107,7 +109,7 @@
     shared = {entry.backend for entry in peers} & {entry.backend for entry in other.entries}
     assert len(shared) < len(peers) / 4  # gateways of one partition choose different peers
 
-    # The peers' drains are taken in, and a full list keeps to them.
+    # Drains of the peers are applied, and a full list keeps the same peers.
     drains = reader.read(encode(changes(42, range(33_000), "leaving"))).update
     listed = {entry.backend for entry in update.entries}
     assert listed <= {entry.backend for entry in drains.entries}
@@ -116,7 +118,7 @@
     assert not reader.needs_repartitioning
 
 
-def test_deduplication_peers_are_used_for_retries_alone() -> None:
+def test_deduplication_peers_are_used_only_for_retries() -> None:
     gateway = Gateway(settings(gateways=GATEWAYS, index=0, classes=(KEYED_CELL_CLASS,)), 7)
     partition = Partition(GATEWAYS, 0, 64)
     inside = [n for n in range(1, 5000) if partition.holds(n)][:40]
@@ -134,11 +136,11 @@
     assert retries[0].backend in peers
 
 
-def test_a_fleet_that_outgrew_its_partitions_or_shrank_below_them_is_repartitioned() -> None:
+def test_fleet_that_is_too_large_or_too_small_for_its_partitions_is_repartitioned() -> None:
     reader = EndpointListReader((), (), GATEWAYS, 5)
     reader.read(encode(full_list(1000)))
     reader.read(encode(changes(42, range(1000, 1100))))
-    assert not reader.needs_repartitioning  # one or two hundred more do no harm
+    assert not reader.needs_repartitioning  # one or two hundred more are tolerated
     reader.read(encode(full_list(30_000)))
     assert not reader.needs_repartitioning
     assert reader.read(encode(full_list(4000))).update.partition_count == 32
@@ -150,7 +152,7 @@
     assert reader.needs_repartitioning
 
 
-ENDLESS_LISTS: dict[str, tuple[bytes, bytes]] = {  # how each begins and goes on
+ENDLESS_LISTS: dict[str, tuple[bytes, bytes]] = {  # beginning and repeated continuation
     "space": (b'{"rev":1,', b" " * 8192),
     "a text": (b'{"rev":"', b"x" * 8192),
     "depth": (b"", b"[" * 8192),
@@ -159,7 +161,7 @@
 
 
 @pytest.mark.parametrize("form", ENDLESS_LISTS)
-def test_an_endless_list_is_rejected_after_a_bounded_number_of_pieces(
+def test_endless_list_is_rejected_after_a_limited_number_of_pieces(
     form: str, monkeypatch: pytest.MonkeyPatch, reader: EndpointListReader
 ) -> None:
     monkeypatch.setattr(endpoint_list, "MAX_ENTRIES", 500)
@@ -181,7 +183,7 @@
     assert "\n" not in str(raised.value)
 
 
-def test_too_many_entries_are_rejected_in_a_message_of_their_own(
+def test_too_many_entries_are_rejected_with_a_specific_message(
     monkeypatch: pytest.MonkeyPatch, reader: EndpointListReader
 ) -> None:
     monkeypatch.setattr(endpoint_list, "MAX_ENTRIES", 500)
@@ -205,17 +207,17 @@
         json.dumps(full_list(3)).replace('"rev": 41', '"rev": NaN').encode(),
     ],
 )
-def test_an_invalid_list_leaves_the_last_one_in_place(
+def test_invalid_list_leaves_the_last_one_in_effect(
     invalid: bytes, reader: EndpointListReader
 ) -> None:
     last = reader.read(encode(full_list(3))).update
     with pytest.raises(EndpointListError):
-        read_pieces(reader, pieces_of(invalid, 4096))
+        read_pieces(reader, split_into_pieces(invalid, 4096))
     assert len(reader._known_backends) == 3 == len(last.entries)
 
 
-def test_the_long_list_of_a_configuration_is_held_in_part(tmp_path: Path) -> None:
-    """The list stands ahead of the settings, which tell the partition of this gateway."""
+def test_only_the_partition_of_a_cached_list_in_the_configuration_is_stored(tmp_path: Path) -> None:
+    """The list precedes the settings, which determine the partition of this gateway."""
     path = tmp_path / "config.json"
     configuration = {
         "name": "n3",
@@ -232,7 +234,7 @@
     assert 500 <= len(update.entries) == len(config.initial_addresses) <= 750
 
 
-def test_a_configuration_without_a_list_has_no_endpoints(tmp_path: Path) -> None:
+def test_configuration_without_a_list_has_no_endpoints(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     configuration = {
         "listen": "127.0.0.1:0",
--- a/tests/discovery/test_idle_clients.py
+++ b/tests/discovery/test_idle_clients.py
@@ -1,4 +1,4 @@
-"""Idle clients that fill the descriptors keep neither discovery nor other clients out."""
+"""Idle clients that use up the file descriptors block neither discovery nor other clients."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.discovery.faults import DRAIN_LIMIT_S, FAULTS, BeginFault, end_fault, failures
+from tests.discovery.faults import DRAIN_LIMIT_S, FAULTS, FaultInjector, collect_failures, end_fault
 from tests.support.configuration import SETTINGS
 from tests.support.discovery_agent import DiscoveryAgent, endpoint_entry, endpoint_list
 from tests.support.event_loop import run, until
@@ -20,9 +20,9 @@
 
 
 class IdleClients:
-    """Clients that connect and stay, and connect again when the ingress closes them.
+    """Clients that keep connections open, and reconnect when the ingress closes them.
 
-    They send nothing, half a request, or a request after which they stay.
+    Each client sends nothing, half a request, or a complete request.
     """
 
     def __init__(self, port: int, count: int) -> None:
@@ -49,22 +49,23 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-class CrowdedProgram:
-    """The ingress as a program with few descriptors, its peers, and twice as many idle clients.
+class ProgramWithIdleClients:
+    """The ingress as a process with few descriptors, its peers, and twice as many idle clients.
 
-    The clients come during a fault of discovery: what is open then is all that the ingress has.
+    The clients connect during a fault of discovery, so that the ingress has to reconnect to
+    discovery while they occupy the descriptors.
     """
 
-    def __init__(self, begin_fault: BeginFault, descriptors: int, log: Path) -> None:
+    def __init__(self, inject_fault: FaultInjector, descriptors: int, log: Path) -> None:
         self.old = Peer(respond(b"old"))
         self.new = Peer(respond(b"new"))
         self.agent = DiscoveryAgent()
         self.discovery = Peer(self.agent)
-        self._begin_fault = begin_fault
+        self._inject_fault = inject_fault
         self._descriptors = descriptors
         self._log = log
 
-    async def __aenter__(self) -> CrowdedProgram:
+    async def __aenter__(self) -> ProgramWithIdleClients:
         async with AsyncExitStack() as resources:
             reserved = resources.enter_context(reserve_port())
             self.port = reserved.getsockname()[1]
@@ -77,7 +78,7 @@
             while (await send_once(self.port, HEALTH_REQUEST)).status != 200:
                 await asyncio.sleep(0.05)
             await until(lambda: bool(self.agent.held_polls))
-            await self._begin_fault(self.agent, self.discovery)
+            await self._inject_fault(self.agent, self.discovery)
             self.clients = IdleClients(self.port, 2 * self._descriptors)
             resources.push_async_callback(self.clients.disconnect)
             await until(lambda: self.clients.connections >= 2 * self._descriptors)
@@ -100,7 +101,7 @@
         }
 
     async def drain_after_fault(self) -> None:
-        """End the fault: the old backend drains, a new one is there, and the ingress knows."""
+        """End the fault, drain the old backend, add the new one, and wait until both are known."""
         await end_fault(
             self.agent,
             self.discovery,
@@ -111,12 +112,12 @@
             await until(lambda: self.agent.is_known_to(self.discovery))
 
     async def bodies_served(self, numbers: range) -> list[bytes]:
-        """Send a request after another as a usual client; return the bodies of the responses."""
+        """Send one request after another as an ordinary client; return the response bodies."""
         return [await body_served(self.port, number) for number in numbers]
 
 
 async def body_served(port: int, number: int) -> bytes:
-    """Return the response's body, trying again while the connection is closed without one."""
+    """Send a request, again while its connection closes without a response; return the body."""
     data = request("ledger-read", number, Request_Timeout="4.000")
     async with asyncio.timeout(4.0):
         response = await send_once(port, data, 4.0)
@@ -127,8 +128,8 @@
     return response.body
 
 
-async def check_drain(begin_fault: BeginFault, descriptors: int, log: Path) -> None:
-    async with CrowdedProgram(begin_fault, descriptors, log) as program:
+async def check_drain(inject_fault: FaultInjector, descriptors: int, log: Path) -> None:
+    async with ProgramWithIdleClients(inject_fault, descriptors, log) as program:
         await program.drain_after_fault()
         requests_before = len(program.old.requests)
         await program.clients.disconnect()
@@ -137,16 +138,16 @@
         assert program.process.returncode is None
 
 
-async def check_service(begin_fault: BeginFault, descriptors: int, log: Path) -> None:
-    async with CrowdedProgram(begin_fault, descriptors, log) as program:
+async def check_service(inject_fault: FaultInjector, descriptors: int, log: Path) -> None:
+    async with ProgramWithIdleClients(inject_fault, descriptors, log) as program:
         assert await program.bodies_served(range(5)) == [b"old"] * 5
         await program.drain_after_fault()
         assert await program.bodies_served(range(5, 10)) == [b"new"] * 5
         assert program.process.returncode is None
 
 
-# The fault of discovery, and the descriptors that the ingress may hold.
-CROWDS = (
+# The fault of discovery, and the file descriptors that the ingress may use.
+CASES = (
     ("refused", 64),
     ("silent", 64),
     ("truncated and closed", 64),
@@ -155,45 +156,47 @@
 )
 
 
-def test_a_drain_is_known_in_time_while_idle_clients_fill_the_descriptors(tmp_path: Path) -> None:
-    """The ingress must get its connection to discovery back, whatever idle clients hold."""
+def test_drain_is_known_in_time_while_idle_clients_use_up_the_descriptors(tmp_path: Path) -> None:
+    """The ingress must be able to reconnect to discovery while idle clients are connected."""
     cases = {
         f"{name}, {descriptors} descriptors": check_drain(
             FAULTS[name], descriptors, tmp_path / f"{name}-{descriptors}.log"
         )
-        for name, descriptors in CROWDS
+        for name, descriptors in CASES
     }
 
     async def test() -> None:
-        assert await failures(cases) == {}
+        assert await collect_failures(cases) == {}
 
     run(test())
 
 
-def test_a_usual_client_is_served_while_idle_clients_fill_the_descriptors(tmp_path: Path) -> None:
-    """During the fault and after it: a connection may be closed unread, but not be left to wait."""
+def test_ordinary_client_is_served_while_idle_clients_use_up_the_descriptors(
+    tmp_path: Path,
+) -> None:
+    """Its connection may be closed unread, but must not wait, during the fault or after it."""
     cases = {
         f"{name}, {descriptors} descriptors": check_service(
             FAULTS[name], descriptors, tmp_path / f"{name}-{descriptors}.log"
         )
-        for name, descriptors in CROWDS
+        for name, descriptors in CASES
     }
 
     async def test() -> None:
-        assert await failures(cases) == {}
+        assert await collect_failures(cases) == {}
 
     run(test())
 
 
-def test_a_usual_client_is_served_behind_idle_ones_that_connect_at_once(
+def test_ordinary_client_is_served_after_many_simultaneous_idle_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """64 descriptors leave eight connections; forty clients wait before the first is accepted."""
+    """64 descriptors leave eight connections; forty clients connect before the first accept."""
     monkeypatch.setattr("sumacpost.server.connection_registry.REQUEST_TIMEOUT_S", 1000.0)
 
     async def test() -> None:
         async with running_ingress(respond(b"old"), sockets=64) as ingress:
-            # The event loop doesn't turn meanwhile.
+            # The event loop doesn't run in between.
             idle_clients = [socket.create_connection(ingress.address) for _ in range(40)]
             assert await body_served(ingress.address[1], 1) == b"old"
             for idle_client in idle_clients:
--- a/tests/discovery/test_list_format.py
+++ b/tests/discovery/test_list_format.py
@@ -1,4 +1,4 @@
-"""Endpoint lists as they are read into the gateway's form."""
+"""Conversion of endpoint lists to updates for the gateway."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     return EndpointListReader(zones=("x", "y"), machine_types=("m",))
 
 
-def test_a_backend_has_the_same_number_everywhere() -> None:
+def test_backend_id_is_the_same_in_every_process() -> None:
     assert backend_id("s-5be2a07c") == 54393183237098
     assert len({backend_id(f"s-{n}") for n in range(2000)}) == 2000
     assert all(0 <= backend_id(f"s-{n}") < 1 << 48 for n in range(100))
 
 
-def test_a_list_is_read_into_the_gateways_form(reader: EndpointListReader) -> None:
+def test_list_is_converted_to_an_update(reader: EndpointListReader) -> None:
     draining = {
         "uid": "a",
         "endpoint": "127.0.0.1:80",
@@ -80,11 +80,11 @@
         {"rev": 1, "all": True, "targets": [], "x": [[[[[[[[1]]]]]]]]},
     ],
 )
-def test_an_invalid_list_is_rejected(invalid: Any, reader: EndpointListReader) -> None:
+def test_invalid_list_is_rejected(invalid: Any, reader: EndpointListReader) -> None:
     with pytest.raises(EndpointListError):
         reader.read(json.dumps(invalid).encode())
 
 
-def test_a_list_of_one_valid_entry_is_read(reader: EndpointListReader) -> None:
+def test_list_of_one_valid_entry_is_read(reader: EndpointListReader) -> None:
     raw = endpoint_list(1, VALID_ENTRY)
     assert len(reader.read(json.dumps(raw).encode()).update.entries) == 1
--- a/tests/discovery/test_list_updates.py
+++ b/tests/discovery/test_list_updates.py
@@ -1,4 +1,4 @@
-"""How a running ingress follows the endpoint lists of discovery."""
+"""Updates of a running ingress from the endpoint lists of discovery."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def send_in_turn(*responses: bytes) -> Script:
-    """Return a script that sends a response to each of the first requests, then nothing."""
+    """Return a script that sends one response to each of the first requests, then none."""
     remaining = list(responses)
 
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
@@ -47,17 +47,17 @@
 
 
 def drain_response(backend: Peer, version: int) -> bytes:
-    """Return a response to a poll: the only backend of an ingress drains."""
+    """Return a response to a poll that drains the only backend of an ingress."""
     draining = endpoint_entry(backend, "s-0", "leaving")
     return json_response(endpoint_list(version, draining, full=False))
 
 
 async def bodies_served(ingress: RunningIngress, count: int) -> list[bytes]:
-    """Send so many requests, each on a new connection; return the bodies of the responses."""
+    """Send `count` requests, each on a new connection; return the response bodies."""
     return [(await ingress.send(request(number=number))).body for number in range(count)]
 
 
-def test_the_watch_follows_changes_and_polls_again_on_the_same_connection() -> None:
+def test_watch_applies_changes_and_polls_again_on_the_same_connection() -> None:
     async def test() -> None:
         async with running_peer(respond(b"new")) as new:
             added = endpoint_list(6, endpoint_entry(new, "s-9"), full=False)
@@ -90,7 +90,7 @@
         json.dumps(endpoint_list(9, {"uid": "s-0"}, full=False)).encode(),
     ],
 )
-def test_after_an_invalid_list_the_full_one_is_polled_and_service_goes_on(body: bytes) -> None:
+def test_full_list_is_polled_and_service_continues_after_an_invalid_list(body: bytes) -> None:
     response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
     async def test() -> None:
@@ -105,7 +105,7 @@
     run(test())
 
 
-def test_a_full_list_removes_what_it_does_not_name() -> None:
+def test_full_list_removes_the_backends_that_it_does_not_name() -> None:
     async def test() -> None:
         async with running_peer(respond(b"new")) as new:
             discovery = send_in_turn(list_response(new, "s-9", 1))
@@ -117,7 +117,7 @@
     run(test())
 
 
-def test_a_poll_whose_connection_is_reset_is_repeated_from_the_same_version() -> None:
+def test_poll_is_repeated_from_the_same_version_after_a_reset() -> None:
     async def reset_first(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
         if len(peer.requests) == 1:
             writer.transport.abort()
@@ -136,10 +136,10 @@
 
 @pytest.mark.parametrize("version", [3, 9])
 @pytest.mark.parametrize("sends_full_lists", [True, False])
-def test_the_agents_list_replaces_a_cached_one_that_is_newer_or_older(
+def test_agents_list_replaces_a_newer_or_older_cached_list(
     version: int, sends_full_lists: bool
 ) -> None:
-    """The cached one is of version 5: changes up to an older one fit no list."""
+    """The cached list has version 5, so changes up to an older version apply to no known list."""
 
     async def test() -> None:
         async with running_peer(respond(b"agent")) as listed:
@@ -164,12 +164,12 @@
     run(test())
 
 
-def test_the_return_of_a_silent_agent_is_seen_within_the_grace_of_a_drain() -> None:
-    """What the agent has at its return is due at once: a poll held for a second comes too late."""
+def test_recovery_of_a_silent_agent_is_noticed_within_the_grace_period_of_a_drain() -> None:
+    """Changes are needed as soon as the agent recovers; a poll held for 1 s would be too late."""
 
     async def test() -> None:
         async with running_ingress(never_respond) as ingress:
-            # The first poll got no response.
+            # The first poll has had no response.
             await until(lambda: len(ingress.discovery.requests) == 2)
             first, second = polls(ingress.discovery)
             assert (first, second) == (
@@ -187,7 +187,7 @@
 @pytest.mark.parametrize(
     ("drain_grace_s", "timeout_s"), [(1.0, 0.5), (0.4, 0.2), (60.0, 0.5), (0.0, 0.1)]
 )
-def test_a_response_times_out_well_within_the_grace_of_a_drain(
+def test_response_timeout_is_well_within_the_grace_period_of_a_drain(
     drain_grace_s: float, timeout_s: float
 ) -> None:
     reader = EndpointListReader((), ())
@@ -195,7 +195,7 @@
     assert watch._response_timeout_s == timeout_s
 
 
-def test_an_indented_list_that_comes_byte_by_byte_is_read() -> None:
+def test_indented_list_received_byte_by_byte_is_read() -> None:
     async def test() -> None:
         async with running_peer(respond(b"new")) as new:
             listed = endpoint_list(6, endpoint_entry(new, "s-9"))
@@ -213,8 +213,11 @@
     run(test())
 
 
-def test_after_a_reload_only_the_list_of_the_new_agent_is_accepted() -> None:
-    """Half of the old agent's list is in at SIGHUP; the rest comes in the same turn of the loop."""
+def test_only_the_list_of_the_new_agent_is_accepted_after_a_reload() -> None:
+    """A list of the old agent that is being received must not be accepted after SIGHUP.
+
+    A part of the list arrives before SIGHUP, and the rest in the same iteration of the event loop.
+    """
 
     async def test() -> None:
         async with (
@@ -239,14 +242,17 @@
     run(test())
 
 
-def test_a_poll_whose_connection_fell_silent_is_repeated_on_a_new_one() -> None:
-    """In incident re163d6 the list stood still for 11 s while every backend was replaced."""
+def test_poll_on_a_silent_connection_is_repeated_on_a_new_one() -> None:
+    """A watch that waited on a silent connection would keep an outdated list.
+
+    In one incident the list was not updated for 11 s while every backend was replaced.
+    """
 
     async def test() -> None:
-        async with running_ingress(respond()) as ingress:  # its agent never responds
+        async with running_ingress(respond()) as ingress:  # the agent never responds
             await until(lambda: len(ingress.discovery.requests) == 1)
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             await until(lambda: ingress.discovery.connections == 2)
-            assert asyncio.get_running_loop().time() - began < 5
+            assert asyncio.get_running_loop().time() - started_at < 5
 
     run(test())
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch of discovery alone, polling a scripted agent."""
+"""The discovery watch without an ingress, polling a scripted agent."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ScriptedWatch:
-    """A running watch, its agent, and the updates that the watch has handed on."""
+    """A running watch, its agent, and the updates that the watch has passed to its listener."""
 
     def __init__(self, script: Script, gateways: int = 1) -> None:
         self.agent = Peer(script)
@@ -55,7 +55,7 @@
 
     @property
     def polls(self) -> list[bytes]:
-        """The paths that were polled, without the time that the agent may hold a poll."""
+        """The polled paths, without the time for which the agent may hold a poll."""
         return [request.split()[1].partition(b"hold")[0] for request in self.agent.requests]
 
 
@@ -65,10 +65,13 @@
 
 
 @pytest.mark.usefixtures("_short_delays")
-def test_a_long_list_that_cannot_be_read_is_not_polled_again_but_changes_are(
+def test_changes_are_polled_instead_of_a_long_list_that_cannot_be_read(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """15 MB of it were polled every 0.1 s; now the watch goes on from the last good version."""
+    """The watch must not poll an unreadable list in full again and again.
+
+    It polled 15 MB every 0.1 s. Polls have to start from the last usable version instead.
+    """
     malformed = http_response(encode(full_list(5000))[:-9] + b"malformed")
 
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
@@ -81,7 +84,7 @@
         async with ScriptedWatch(script) as watched:
             await until(lambda: bool(watched.updates))
             assert watched.updates[0].version == 6
-            # The full list is polled once: it may hold what the response was to say.
+            # The full list is polled at most once, as it may contain what the response should have.
             assert watched.polls[:7] in (
                 [LONG_POLL] * 7,
                 [LONG_POLL, FULL_LIST_POLL, *[LONG_POLL] * 5],
@@ -96,8 +99,8 @@
 
 
 @pytest.mark.usefixtures("_short_delays")
-def test_bytes_received_of_long_lists_are_bounded_while_these_cannot_be_read() -> None:
-    """They are counted where the ingress reads, over the polls of the time that follows."""
+def test_bytes_received_are_limited_while_long_lists_cannot_be_read() -> None:
+    """The bytes that the ingress reads are counted for the polls after the limit has started."""
     malformed = http_response(encode(full_list(5000))[:-1])
 
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
@@ -118,7 +121,7 @@
 
 
 @pytest.mark.usefixtures("_short_delays")
-def test_a_list_that_breaks_off_is_polled_again_from_the_last_good_version() -> None:
+def test_truncated_list_is_polled_again_from_the_last_usable_version() -> None:
     response = json_response(changes(6, [1]))
 
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
@@ -136,7 +139,7 @@
     run(test())
 
 
-def test_a_long_list_is_handed_on_in_batches_and_then_as_a_whole() -> None:
+def test_long_list_is_passed_on_in_batches_and_then_as_a_whole() -> None:
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
         if len(peer.requests) == 1:
             writer.write(json_response(full_list(900, 6)))
@@ -155,7 +158,7 @@
     run(test())
 
 
-def test_the_full_list_is_polled_when_the_fleet_needs_repartitioning() -> None:
+def test_full_list_is_polled_when_the_fleet_needs_repartitioning() -> None:
     responses: list[dict[str, Any]] = [
         full_list(3000, 6),
         changes(7, range(2700), "left"),
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -81,7 +81,7 @@
     run(test())
 
 
-def test_connection_attempt_times_out() -> None:
+def test_connect_times_out() -> None:
     """With a full backlog, a connection is neither established nor refused."""
 
     async def test() -> None:
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -28,7 +28,7 @@
         (b"\xff=1,backlog=2,utilization=1", ()),
     ],
 )
-def test_partly_invalid_load_report_is_ignored(
+def test_load_report_is_read_completely_or_ignored(
     report: bytes | None, values: tuple[float, ...]
 ) -> None:
     assert LoadReportReader(("utilization", "backlog")).read(report) == values
@@ -48,7 +48,7 @@
         (b" 3", 0.0),
     ],
 )
-def test_invalid_billed_units_are_read_as_unknown(header: bytes, units: float) -> None:
+def test_billed_units_are_unknown_unless_valid(header: bytes, units: float) -> None:
     assert read_billed_units(header, max_units=8.0) == units
 
 
