--- a/sumacpost/policy/connection_rules.py
+++ b/sumacpost/policy/connection_rules.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConnectionFacts:
+class ConnectionSnapshot:
     """What is known of a client's connection.
 
     Attributes:
@@ -34,22 +34,22 @@
     has_unread_input: bool
 
 
-def close_obstacle(facts: ConnectionFacts) -> CloseObstacle | None:
+def close_obstacle(snapshot: ConnectionSnapshot) -> CloseObstacle | None:
     """Return why a connection may not simply be closed now; None: it may."""
-    if facts.responses_owed:
+    if snapshot.responses_owed:
         return CloseObstacle.RESPONSE_OWED
-    if facts.buffered_bytes:
+    if snapshot.buffered_bytes:
         return CloseObstacle.REQUEST_READ
-    if facts.has_partial_message:
+    if snapshot.has_partial_message:
         return CloseObstacle.REQUEST_INCOMPLETE
-    if facts.has_unread_input:
+    if snapshot.has_unread_input:
         return CloseObstacle.REQUEST_UNREAD
     return None
 
 
-def is_last_response(keep_alive: bool, draining: bool, more_requests: bool) -> bool:
+def is_last_response(keep_alive: bool, draining: bool, has_pending_requests: bool) -> bool:
     """Return whether a connection ends with the response that is due on it.
 
-    more_requests: others that were read on it have no response yet.
+    has_pending_requests: others that were read on it have no response yet.
     """
-    return not keep_alive or (draining and not more_requests)
+    return not keep_alive or (draining and not has_pending_requests)
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -69,7 +69,7 @@
     assert most_stored <= 1.1 * MAX_PARTITION_BACKENDS  # partitions differ a little in size
     assert update.partition_count == 32
     assert {entry.backend for entry in update.entries} == set(addresses)
-    assert all(parser.partition.holds(entry.backend) for entry in update.entries)
+    assert all(parser.partition.contains(entry.backend) for entry in update.entries)
 
     # The same applies to the changes that follow.
     changed = reader.read(encode(changes(42, range(20_000, 20_640), "leaving"))).update
@@ -94,8 +94,8 @@
     reader = EndpointListReader((), (), GATEWAYS, 77, has_cell_scope=True)
     update = reader.read(encode(full_list(33_000))).update
     partition = reader.new_parser().partition
-    inside = [entry for entry in update.entries if partition.holds(entry.backend)]
-    peers = [entry for entry in update.entries if not partition.holds(entry.backend)]
+    inside = [entry for entry in update.entries if partition.contains(entry.backend)]
+    peers = [entry for entry in update.entries if not partition.contains(entry.backend)]
     assert update.partition_count == 64
     assert len(inside) <= MAX_PARTITION_BACKENDS
     assert len(peers) <= DEDUPLICATION_PEERS_PER_CELL * len(inside)
@@ -121,8 +121,8 @@
 def test_deduplication_peers_are_used_only_for_retries() -> None:
     gateway = Gateway(settings(gateways=GATEWAYS, index=0, classes=(KEYED_CELL_CLASS,)), 7)
     partition = Partition(GATEWAYS, 0, 64)
-    inside = [n for n in range(1, 5000) if partition.holds(n)][:40]
-    peers = [n for n in range(1, 5000) if not partition.holds(n)][:80]
+    inside = [n for n in range(1, 5000) if partition.contains(n)][:40]
+    peers = [n for n in range(1, 5000) if not partition.contains(n)][:80]
     entries = [Endpoint(n, cell=position % 40) for position, n in enumerate([*inside, *peers])]
     gateway.handle(START_MS, EndpointListUpdate(UpdateKind.FULL, entries, partition_count=64))
     assert {ready.backend for ready in gateway.endpoints.subset.ready} == set(inside)
--- a/tests/discovery/test_idle_clients.py
+++ b/tests/discovery/test_idle_clients.py
@@ -109,7 +109,7 @@
             endpoint_entry(self.new, "s-1"),
         )
         async with asyncio.timeout(DRAIN_LIMIT_S):
-            await until(lambda: self.agent.is_known_to(self.discovery))
+            await until(lambda: self.agent.current_version_polled(self.discovery))
 
     async def bodies_served(self, numbers: range) -> list[bytes]:
         """Send one request after another as an ordinary client; return the response bodies."""
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -44,13 +44,14 @@
     name: str, seed: int
 ) -> None:
     simulation = FleetSimulation(SCENARIOS[name], seed).run()
-    fullest = simulation.fullest_window()
-    fullest_by_work = simulation.fullest_window(lambda job: job.work)
-    use = [server.use(simulation.end) for server in simulation.cold]
+    fullest = simulation.peak_window_load()
+    fullest_by_work = simulation.peak_window_load(lambda request: request.actual_work)
+    use = [server.utilization(simulation.end) for server in simulation.cold]
     print(
         f"{name}, seed {seed}: fullest window {fullest:.2f} of what is allowed "
         f"({fullest_by_work:.2f} by actual work), use {min(use):.2f} to {max(use):.2f}, "
-        f"served {simulation.served / simulation.offered:.2f} of {simulation.offered}"
+        f"served {simulation.requests_served / simulation.requests_sent:.2f} "
+        f"of {simulation.requests_sent}"
     )
     assert fullest <= 1
     assert min(use) >= MIN_USE
@@ -59,7 +60,7 @@
 def test_simulation_overloads_backends_whose_start_is_hidden() -> None:
     """The bound can be broken: the same simulation, with entries that say 'up since long ago'."""
     scenario = SCENARIOS["200 gateways, 3 of 30 cold"]
-    assert FleetSimulation(scenario, 1, hide_start=True).run().fullest_window() > 1
+    assert FleetSimulation(scenario, 1, hide_start=True).run().peak_window_load() > 1
 
 
 @pytest.mark.parametrize("name", ["200 gateways, 3 of 30 cold", "20 gateways, 2 of 20 cold"])
@@ -67,7 +68,7 @@
     name: str,
 ) -> None:
     """The bound is one on the sum: each gateway knows the start, and uses the whole budget."""
-    assert FleetSimulation(SCENARIOS[name], 1, gateways=1, index=0).run().fullest_window() > 1
+    assert FleetSimulation(SCENARIOS[name], 1, gateways=1, index=0).run().peak_window_load() > 1
 
 
 def test_cold_backend_gets_its_part_in_any_window() -> None:
@@ -212,7 +213,7 @@
 class UnboundedSlowStart(SlowStart):
     """A budget without a bound."""
 
-    def admits(self, now: float, backend: Backend, work: float) -> bool:
+    def admits(self, now: float, backend: Backend, work_ms: float) -> bool:
         return True
 
 
@@ -235,7 +236,7 @@
     for number, report in enumerate([(0.0, 2.0, 0.1), (0.0, 0.0, 0.9), (), (0.0, 9.0, 0.9)]):
         for send in actions_of_type(g.handle(START_MS, request_arrived(number)), Send):
             g.handle(START_MS, replace(attempt_ended(number, send.backend), report=report))
-    assert g.estimate.warm_capacity == pytest.approx(0.5)  # a twentieth of ten
+    assert g.estimate.warm_capacity_per_s == pytest.approx(0.5)  # a twentieth of ten
 
 
 # ---- the window of one gateway
@@ -282,10 +283,10 @@
 
     def use_up(now: float) -> int:
         """Send requests of mean work until no more are admitted; return how many."""
-        work = g.estimate.usual_work
+        work_ms = g.estimate.long_term_mean_work_ms
         sent = 0
-        while slow_start.admits(now, backend, work):
-            slow_start.sent(now, backend, next(numbers), 0, work)
+        while slow_start.admits(now, backend, work_ms):
+            slow_start.record_send(now, backend, next(numbers), 0, work_ms)
             sent += 1
         return sent
 
--- a/tests/upstream/test_forwarding.py
+++ b/tests/upstream/test_forwarding.py
@@ -71,7 +71,7 @@
             started_at = loop.time()
             assert (await ingress.send(request(cls, Request_Timeout="0.400"))).status == status
             assert loop.time() - started_at < 0.4
-            await until(lambda: ingress.backends[0].closed == 1)
+            await until(lambda: ingress.backends[0].connections_closed == 1)
             assert len(ingress.backends[0].requests) == 1  # no retry just before the deadline
 
     run(test())
@@ -84,7 +84,7 @@
             client.write(request())
             await until(lambda: bool(ingress.backends[0].requests))
             client.writer.close()
-            await until(lambda: ingress.backends[0].closed == 1)
+            await until(lambda: ingress.backends[0].connections_closed == 1)
 
     run(test())
 
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -61,6 +61,6 @@
         telemetry = {"via": "inline", "fields": ["backlog", "throughput", "utilization"]}
         async with running_ingress(report, settings={"telemetry": telemetry}) as ingress:
             await ingress.send(request())
-            assert ingress.gateway.estimate.warm_capacity == pytest.approx(0.5)  # 1/20 of ten
+            assert ingress.gateway.estimate.warm_capacity_per_s == pytest.approx(0.5)  # 1/20 of ten
 
     run(test())
