--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -105,9 +105,7 @@
     def update_endpoints(self, update: EndpointListUpdate, addresses: AddressByBackend) -> None:
         """Apply an endpoint list update to the gateway and to the connection pools."""
         for entry in update.entries:
-            self.backends.update_endpoint(
-                entry.backend, addresses[entry.backend], entry.up_since_ms
-            )
+            self.backends.update_address(entry.backend, addresses[entry.backend], entry.up_since_ms)
         self._handle(update)
         self.backends.apply_update(update)
         self.ready = self.ready or bool(addresses)
--- a/sumacpost/upstream/connection.py
+++ b/sumacpost/upstream/connection.py
@@ -49,7 +49,7 @@
 class ConnectionOwner(Protocol):
     """The pool that a connection belongs to and reports to."""
 
-    endpoint: Address
+    address: Address
     max_body_bytes: int
     reuse_limit: ReuseLimit
     recorder: EventRecorder
@@ -159,7 +159,7 @@
         self._pool.recorder.record(
             EventKind.BACKEND_CONNECTION_CLOSED,
             reason.value,
-            self._pool.endpoint,
+            self._pool.address,
             "state=%s",
             self._state.value,
         )
@@ -179,12 +179,12 @@
         self.close(CloseReason.ATTEMPT_ABANDONED)
 
     def _reject_response(self, error: object) -> None:
-        host, port = self._pool.endpoint
+        host, port = self._pool.address
         log.warning("response rejected: backend=%s:%d error=%s", host, port, error)
         self._fail(CloseReason.INVALID_RESPONSE)
 
     def _on_response_stalled(self) -> None:
-        host, port = self._pool.endpoint
+        host, port = self._pool.address
         log.warning(
             "response stalled: backend=%s:%d timeout_s=%s", host, port, RESPONSE_STALL_TIMEOUT_S
         )
--- a/sumacpost/upstream/pool.py
+++ b/sumacpost/upstream/pool.py
@@ -42,8 +42,8 @@
 class ConnectionPool:
     """The connections to one incarnation of a backend, at one address."""
 
-    def __init__(self, endpoint: Address, owner: PoolOwner, up_since_ms: float) -> None:
-        self.endpoint = endpoint
+    def __init__(self, address: Address, owner: PoolOwner, up_since_ms: float) -> None:
+        self.address = address
         self.up_since_ms = up_since_ms
         self.max_body_bytes = owner.max_body_bytes
         self.reuse_limit = owner.reuse_limit
@@ -191,7 +191,7 @@
         """Connect a socket within the timeout; raise OSError or TimeoutError on failure."""
         try:
             async with asyncio.timeout(self._owner.connect_timeout_s):
-                await asyncio.get_running_loop().sock_connect(sock, self.endpoint)
+                await asyncio.get_running_loop().sock_connect(sock, self.address)
         except TimeoutError:
             # after a delay of the event loop the timeout may fire before the connection is noticed
             if not _is_connected(sock):
--- a/sumacpost/upstream/pool_manager.py
+++ b/sumacpost/upstream/pool_manager.py
@@ -21,7 +21,7 @@
 from sumacpost.upstream.reuse_limit import ReuseLimit
 
 
-def _always_permitted(_: Attempt) -> bool:
+def _allow_all(_: Attempt) -> bool:
     return True
 
 
@@ -42,7 +42,7 @@
         backend_idle_timeout_s: float,
         on_attempt_ended: AttemptEndedCallback,
         max_body_bytes: int = MAX_BODY_BYTES,
-        may_write: Callable[[Attempt], bool] = _always_permitted,
+        may_write: Callable[[Attempt], bool] = _allow_all,
         recorder: EventRecorder | None = None,
     ) -> None:
         self.connect_timeout_s = connect_timeout_s
@@ -55,16 +55,16 @@
         self._max_connections = max_connections
         self._pools: dict[BackendId, ConnectionPool] = {}
 
-    def update_endpoint(
-        self, backend: BackendId, endpoint: Address, up_since_ms: float = 0.0
+    def update_address(
+        self, backend: BackendId, address: Address, up_since_ms: float = 0.0
     ) -> None:
         """Set the address of a backend; create a new pool if the backend has moved or restarted."""
         existing = self._pools.get(backend)
         if existing is not None:
-            if existing.endpoint == endpoint and existing.up_since_ms >= up_since_ms:
+            if existing.address == address and existing.up_since_ms >= up_since_ms:
                 return
             existing.retire()
-        self._pools[backend] = ConnectionPool(endpoint, self, up_since_ms)
+        self._pools[backend] = ConnectionPool(address, self, up_since_ms)
 
     def apply_update(self, update: EndpointListUpdate) -> None:
         """Skip attempts waiting for draining backends, and retire the pools of removed backends.
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -22,7 +22,7 @@
             backend_idle_timeout_s=idle_timeout_s,
             on_attempt_ended=lambda *end: self.ended_attempts.append(end),
         )
-        self.pool_manager.update_endpoint(1, ("127.0.0.1", port))
+        self.pool_manager.update_address(1, ("127.0.0.1", port))
 
     def start(self, payload: bytes = PAYLOAD) -> Attempt:
         """Begin an attempt; assert that its outcome does not come within the call."""
--- a/tests/upstream/test_connection_races.py
+++ b/tests/upstream/test_connection_races.py
@@ -55,7 +55,7 @@
             outcomes = AttemptRecorder(peer.port)
             attempt = outcomes.start()
             await until(lambda: connection_gate.connect_calls == 1)
-            outcomes.pool_manager.update_endpoint(1, ("127.0.0.1", 1))
+            outcomes.pool_manager.update_address(1, ("127.0.0.1", 1))
             connection_gate.open()
             await until(lambda: attempt.ended)
             assert outcomes.ended_attempts[0][1] is Outcome.SKIPPED
@@ -111,7 +111,7 @@
             client.write(request(Request_Timeout="20.000"))
             await until(lambda: connection_gate.connect_calls == 1)
             ((pool, _),) = [(p, a) for p in ingress.pool_manager._pools.values() for a in p.waiting]
-            drained = next(n for n, b in enumerate(ingress.backends) if b.port == pool.endpoint[1])
+            drained = next(n for n, b in enumerate(ingress.backends) if b.port == pool.address[1])
             changes.set_result(
                 json.dumps(
                     {
@@ -256,7 +256,7 @@
             second = outcomes.start()
             (old,) = outcomes.pool_manager._pools.values()
             assert second.pool is old
-            outcomes.pool_manager.update_endpoint(1, ("127.0.0.1", 1))
+            outcomes.pool_manager.update_address(1, ("127.0.0.1", 1))
             outcomes.pool_manager.cancel(second)
             assert not old.waiting
             peer.writers[0].write(OK_RESPONSE)
@@ -271,7 +271,7 @@
         async with Peer(respond()) as peer:
             outcomes = AttemptRecorder(peer.port)
             await outcomes.outcome()
-            outcomes.pool_manager.update_endpoint(1, ("127.0.0.1", peer.port), 7.0)
+            outcomes.pool_manager.update_address(1, ("127.0.0.1", peer.port), 7.0)
             assert outcomes.pool_manager.open_connections == 0
             assert (await outcomes.outcome())[0] is Outcome.OK
             assert peer.connections == 2
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -167,7 +167,7 @@
         for peer in peers:
             await peer.start()
         outcomes = AttemptRecorder(peers[0].port, max_connections=2)
-        outcomes.pool_manager.update_endpoint(2, ("127.0.0.1", peers[1].port))
+        outcomes.pool_manager.update_address(2, ("127.0.0.1", peers[1].port))
         outcomes.start()
         idle = Attempt(None, 0, 2, lambda: PAYLOAD, 0.0)
         outcomes.pool_manager.start(idle)
@@ -194,7 +194,7 @@
         _, response = await outcomes.outcome()
         assert response is not None
         assert response.body == b"old"
-        outcomes.pool_manager.update_endpoint(1, ("127.0.0.1", new.port))
+        outcomes.pool_manager.update_address(1, ("127.0.0.1", new.port))
         _, response = await outcomes.outcome()
         assert response is not None
         assert response.body == b"new"
