--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -309,7 +309,7 @@
             self.cancel_request(pending)
         if attempt.ended:
             return False
-        reason = self._gateway.write_obstacle(self._clock.now(), pending.number, attempt.index)
+        reason = self._gateway.not_written_reason(self._clock.now(), pending.number, attempt.index)
         if reason is None and not attempt.retryable and pending.other_attempt_may_have_run(attempt):
             # Checked here independently of the gateway: a fault in the gateway's state must not
             # cause a second execution of the request.
--- a/sumacpost/policy/attempt_rules.py
+++ b/sumacpost/policy/attempt_rules.py
@@ -12,7 +12,7 @@
 ARRIVAL_MARGIN_MS = 50.0  # an attempt arrives within this and the time that its connection may take
 
 
-def repeat_obstacle(
+def not_repeated_reason(
     now: float, request: PendingRequest, settings: Settings
 ) -> NotSentReason | None:
     """Return why no further attempt of a request may be sent now; None: one may."""
@@ -28,7 +28,7 @@
     return None
 
 
-def write_obstacle(
+def not_written_reason(
     now: float, request: PendingRequest, attempt: int, ready: bool, settings: Settings
 ) -> NotSentReason | None:
     """Return why an attempt that has been sent may not be written now; None: it may.
@@ -45,10 +45,12 @@
         return NotSentReason.SECOND_COPY
     if request.is_repeatable:
         return None
-    return _repeat_obstacle_at_endpoint(now, request, request.attempted_backends[attempt].endpoint)
+    return _not_repeated_at_endpoint_reason(
+        now, request, request.attempted_backends[attempt].endpoint
+    )
 
 
-def _repeat_obstacle_at_endpoint(
+def _not_repeated_at_endpoint_reason(
     now: float, request: PendingRequest, endpoint: Endpoint
 ) -> NotSentReason | None:
     """Return why a request that may have run may not be written to a backend now."""
--- a/sumacpost/policy/connection_rules.py
+++ b/sumacpost/policy/connection_rules.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 
-class CloseObstacle(Enum):
+class NotClosedReason(Enum):
     """Why a connection may not be closed now; the values are for the log."""
 
     RESPONSE_OWED = "response_owed"
@@ -34,16 +34,16 @@
     has_unread_input: bool
 
 
-def close_obstacle(snapshot: ConnectionSnapshot) -> CloseObstacle | None:
+def not_closed_reason(snapshot: ConnectionSnapshot) -> NotClosedReason | None:
     """Return why a connection may not simply be closed now; None: it may."""
     if snapshot.responses_owed:
-        return CloseObstacle.RESPONSE_OWED
+        return NotClosedReason.RESPONSE_OWED
     if snapshot.buffered_bytes:
-        return CloseObstacle.REQUEST_READ
+        return NotClosedReason.REQUEST_READ
     if snapshot.has_partial_message:
-        return CloseObstacle.REQUEST_INCOMPLETE
+        return NotClosedReason.REQUEST_INCOMPLETE
     if snapshot.has_unread_input:
-        return CloseObstacle.REQUEST_UNREAD
+        return NotClosedReason.REQUEST_UNREAD
     return None
 
 
--- a/sumacpost/policy/gateway.py
+++ b/sumacpost/policy/gateway.py
@@ -15,7 +15,7 @@
     SendReason,
 )
 from sumacpost.model.settings import Settings
-from sumacpost.policy.attempt_rules import write_obstacle
+from sumacpost.policy.attempt_rules import not_written_reason
 from sumacpost.policy.backend import Backend, InFlightAttempt
 from sumacpost.policy.endpoint_table import EndpointTable
 from sumacpost.policy.fleet_estimate import FleetEstimate
@@ -71,7 +71,7 @@
                 self._drain_started(now, event)
         return self._actions
 
-    def write_obstacle(self, now: float, number: int, attempt: int) -> NotSentReason | None:
+    def not_written_reason(self, now: float, number: int, attempt: int) -> NotSentReason | None:
         """Return why an attempt of a request that was sent may not be written now, if anything.
 
         Where nothing is in the way, it is taken to be written: it counts from now on.
@@ -81,12 +81,12 @@
             return NotSentReason.CONCLUDED
         backend = request.attempted_backends[attempt]
         ready = self.endpoints.is_ready(backend)
-        obstacle = write_obstacle(now, request, attempt, ready, self.settings)
-        if obstacle is None:
+        reason = not_written_reason(now, request, attempt, ready, self.settings)
+        if reason is None:
             self.load_balancer.slow_start.record_send(
                 now, backend, number, attempt, request.work_ms
             )
-        return obstacle
+        return reason
 
     def _deadline_reached(self, now: float, event: events.DeadlineReached) -> None:
         """Conclude a request that still waits, as one that is held for the counter does."""
@@ -270,18 +270,18 @@
         self, now: float, request: PendingRequest, threshold: float = inf
     ) -> None:
         """Send another attempt if one is permitted; else conclude once none is in flight."""
-        obstacle = self.retries.retry_obstacle(now, request)
-        if obstacle is None:
+        reason = self.retries.not_retried_reason(now, request)
+        if reason is None:
             backend = self.load_balancer.choose(now, request, threshold)
             if backend is not None:
                 self.retries.retry_tokens -= 1
-                reason = SendReason.HEDGE if request.in_flight else SendReason.RETRY
-                self._send(now, request, backend, reason)
+                send_reason = SendReason.HEDGE if request.in_flight else SendReason.RETRY
+                self._send(now, request, backend, send_reason)
                 return
-            obstacle = NotSentReason.NO_BACKEND
+            reason = NotSentReason.NO_BACKEND
         if request.in_flight:
             return  # it may still be answered
-        self._reject_or_fail(now, request, obstacle)
+        self._reject_or_fail(now, request, reason)
 
     def _reject_or_fail(self, now: float, request: PendingRequest, reason: NotSentReason) -> None:
         """Conclude a request that is not served; its client may come back where that is safe."""
--- a/sumacpost/policy/load_balancing.py
+++ b/sumacpost/policy/load_balancing.py
@@ -63,7 +63,7 @@
             eligible = self._random.sample(eligible, MAX_CANDIDATES)
         return [self._endpoints.backends[number] for number in eligible]
 
-    def forecast(
+    def expected_latency_ms(
         self, now: float, backend: Backend, request: PendingRequest, fleet_inflation: float
     ) -> float:
         """Return the expected time of an attempt at this backend; silence bounds it from below.
@@ -88,9 +88,13 @@
         if not allowed:
             return None
         fleet_inflation = self._estimate.inflation.current(now)
-        forecasts = [self.forecast(now, b, request, fleet_inflation) for b in allowed]
-        tie_limit = min(forecasts) * TIE_FACTOR
-        ties = [b for b, forecast in zip(allowed, forecasts, strict=True) if forecast <= tie_limit]
+        latencies_ms = [self.expected_latency_ms(now, b, request, fleet_inflation) for b in allowed]
+        tie_limit = min(latencies_ms) * TIE_FACTOR
+        ties = [
+            b
+            for b, latency_ms in zip(allowed, latencies_ms, strict=True)
+            if latency_ms <= tie_limit
+        ]
         best = self._random.choice(ties)
         return best if self._admits(now, request, best, threshold, fleet_inflation) else None
 
--- a/sumacpost/policy/retries.py
+++ b/sumacpost/policy/retries.py
@@ -8,7 +8,7 @@
     SetTimer,
     Settings,
 )
-from sumacpost.policy.attempt_rules import repeat_obstacle
+from sumacpost.policy.attempt_rules import not_repeated_reason
 from sumacpost.policy.pending_request import PendingRequest
 
 RETRY_RATIO = 0.1  # retries earned by each request
@@ -26,12 +26,12 @@
         """Add what one request earns to the retry budget."""
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_RATIO)
 
-    def retry_obstacle(self, now: float, request: PendingRequest) -> NotSentReason | None:
+    def not_retried_reason(self, now: float, request: PendingRequest) -> NotSentReason | None:
         """Return why no other attempt may be sent now, or None if one may."""
-        obstacle = repeat_obstacle(now, request, self._settings)
-        if obstacle is None and self.retry_tokens < 1:
+        reason = not_repeated_reason(now, request, self._settings)
+        if reason is None and self.retry_tokens < 1:
             return NotSentReason.RETRY_BUDGET
-        return obstacle
+        return reason
 
     def permits_rejection(self, request: PendingRequest) -> bool:
         """Return whether the client may be told to come back, which it may do at any backend."""
--- a/sumacpost/policy/service_time.py
+++ b/sumacpost/policy/service_time.py
@@ -50,7 +50,7 @@
             self._elapsed_ms = 0.0
             self._requests = 0.0
         elif not self._blocks:
-            requests = self._requests + self._requests / self._count
+            known_requests = self._requests + self._requests / self._count
             initial_ms = self._initial_ms * self._requests / self._count
-            self._mean_ms = (self._elapsed_ms + initial_ms) / requests
+            self._mean_ms = (self._elapsed_ms + initial_ms) / known_requests
             self._observations = self._count + 1
--- a/sumacpost/policy/shutdown.py
+++ b/sumacpost/policy/shutdown.py
@@ -16,7 +16,7 @@
 # A process may be held up for 150 ms at a time: as the signal comes, and as a response is due.
 RESPONSE_MARGIN_MS = 300.0
 # For the process to end, which takes it some 50 ms of processor time, on a busy machine.
-END_MARGIN_MS = 200.0
+EXIT_MARGIN_MS = 200.0
 # The listener accepts for at least this long: clients learn late that the service ends.
 MIN_ACCEPT_MS = 400.0
 # No connection for this long means that clients have learnt it; an idle one is closed after it.
@@ -41,7 +41,7 @@
         request_timeout_ms: a span: an incomplete request is rejected after it.
         respond_within_ms: until then each request has its final response, and each connection is
             closed or closing: no other request is read.
-        end_within_ms: until then the process begins to end, whatever is still open.
+        exit_within_ms: until then the process begins to end, whatever is still open.
     """
 
     kill_after_ms: float
@@ -50,7 +50,7 @@
     quiet_ms: float
     request_timeout_ms: float
     respond_within_ms: float
-    end_within_ms: float
+    exit_within_ms: float
 
 
 def shutdown_schedule(classes: Sequence[RequestClass]) -> ShutdownSchedule:
@@ -65,5 +65,5 @@
         quiet_ms=QUIET_MS,
         request_timeout_ms=REQUEST_TIMEOUT_MS,
         respond_within_ms=respond_within_ms,
-        end_within_ms=kill_after_ms - END_MARGIN_MS,
+        exit_within_ms=kill_after_ms - EXIT_MARGIN_MS,
     )
--- a/sumacpost/server/connection.py
+++ b/sumacpost/server/connection.py
@@ -14,10 +14,10 @@
 from sumacpost.errors import RequestError
 from sumacpost.http1 import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from sumacpost.policy.connection_rules import (
-    CloseObstacle,
     ConnectionSnapshot,
-    close_obstacle,
+    NotClosedReason,
     is_last_response,
+    not_closed_reason,
 )
 from sumacpost.server.close_reason import CloseReason
 from sumacpost.server.connection_registry import ConnectionRegistry
@@ -164,9 +164,9 @@
         """Return whether the client has gone, even if the loop has not learnt that yet."""
         return peer_has_disconnected(self._sock)
 
-    def close_obstacle(self) -> CloseObstacle | None:
+    def not_closed_reason(self) -> NotClosedReason | None:
         """Return why the connection may not simply be closed now, if anything."""
-        return close_obstacle(
+        return not_closed_reason(
             ConnectionSnapshot(
                 responses_owed=len(self._pending_responses),
                 buffered_bytes=self._buffered_bytes,
--- a/sumacpost/server/connection_protocols.py
+++ b/sumacpost/server/connection_protocols.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol, TypeVar
 
-from sumacpost.policy.connection_rules import CloseObstacle
+from sumacpost.policy.connection_rules import NotClosedReason
 from sumacpost.server.close_reason import CloseReason
 
 
@@ -14,7 +14,7 @@
     def has_disconnected(self) -> bool:
         """Return whether the client has gone, even if the loop has not learnt that yet."""
 
-    def close_obstacle(self) -> CloseObstacle | None:
+    def not_closed_reason(self) -> NotClosedReason | None:
         """Return why the connection may not simply be closed now, if anything."""
 
     def on_request_timeout(self, reason: CloseReason) -> None:
--- a/sumacpost/server/connection_registry.py
+++ b/sumacpost/server/connection_registry.py
@@ -9,7 +9,7 @@
 from math import inf
 from typing import Generic
 
-from sumacpost.policy.connection_rules import CloseObstacle
+from sumacpost.policy.connection_rules import NotClosedReason
 from sumacpost.server.close_reason import CloseReason
 from sumacpost.server.connection_protocols import ConnectionType
 from sumacpost.server.connection_queue import ConnectionQueue
@@ -30,7 +30,7 @@
 # Connections of a queue that are examined for one to evict.
 MAX_EVICTION_EXAMINED = 8
 # Their place is given to another: at rest, or with a request that has not come whole.
-_EVICTABLE_OBSTACLES = frozenset((None, CloseObstacle.REQUEST_INCOMPLETE))
+_EVICTABLE_REASONS = frozenset((None, NotClosedReason.REQUEST_INCOMPLETE))
 
 log = logging.getLogger(__name__)
 
@@ -162,7 +162,7 @@
         would have to send that again, on a connection that it may not get.
         """
         while (late := self.idle.oldest(before)) is not None:
-            if late.close_obstacle() is None:
+            if late.not_closed_reason() is None:
                 self._close_idle_connection(late, reason)
             else:
                 self.idle.add(late)
@@ -182,7 +182,7 @@
         One whose first request has come, though the loop has not read it, is given time for it.
         """
         while (late := self.waiting.oldest(before)) is not None:
-            if late.close_obstacle() is CloseObstacle.REQUEST_UNREAD:
+            if late.not_closed_reason() is NotClosedReason.REQUEST_UNREAD:
                 self.waiting.add(late)
                 continue
             self.waiting.discard(late)
@@ -212,6 +212,6 @@
     for connection in islice(queue, MAX_EVICTION_EXAMINED):
         if not queue.added_before(connection, before):
             return None
-        if connection.close_obstacle() in _EVICTABLE_OBSTACLES:
+        if connection.not_closed_reason() in _EVICTABLE_REASONS:
             return connection
     return None
--- a/sumacpost/server/drain.py
+++ b/sumacpost/server/drain.py
@@ -75,7 +75,7 @@
 
     async def _wait_until_closed(self) -> None:
         """Wait for connections whose clients still read their last response."""
-        while not self.registry.is_empty and self._elapsed_ms() < self.schedule.end_within_ms:
+        while not self.registry.is_empty and self._elapsed_ms() < self.schedule.exit_within_ms:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
             self.registry.close_all(CloseReason.DRAIN_DEADLINE)  # also those opened meanwhile
             self.registry.enforce_timeouts()
--- a/tests/policy/test_attempt_rules.py
+++ b/tests/policy/test_attempt_rules.py
@@ -5,7 +5,11 @@
 import pytest
 
 from sumacpost.model import NotSentReason, RequestClass, Send
-from sumacpost.policy.attempt_rules import ARRIVAL_MARGIN_MS, repeat_obstacle, write_obstacle
+from sumacpost.policy.attempt_rules import (
+    ARRIVAL_MARGIN_MS,
+    not_repeated_reason,
+    not_written_reason,
+)
 from sumacpost.policy.backend import InFlightAttempt
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.pending_request import PendingRequest
@@ -47,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ("request_class", "obstacle"),
+    ("request_class", "reason"),
     [
         (IDEMPOTENT_CLASS, None),
         (KEYED_CELL_CLASS, None),
@@ -56,12 +60,12 @@
     ],
 )
 def test_a_request_that_may_have_run_is_repeated_as_its_class_permits(
-    request_class: RequestClass, obstacle: NotSentReason | None
+    request_class: RequestClass, reason: NotSentReason | None
 ) -> None:
     _, pending = sent_request(request_class)
-    assert repeat_obstacle(START_MS + 1, pending, SETTINGS) is None
+    assert not_repeated_reason(START_MS + 1, pending, SETTINGS) is None
     pending.record_possible_execution(0, START_MS)
-    assert repeat_obstacle(START_MS + 1, pending, SETTINGS) is obstacle
+    assert not_repeated_reason(START_MS + 1, pending, SETTINGS) is reason
 
 
 def test_a_keyed_request_is_repeated_only_where_it_arrives_within_the_window() -> None:
@@ -69,12 +73,12 @@
     pending.record_possible_execution(0, START_MS)
     reach_ms = SETTINGS.connect_timeout_ms + ARRIVAL_MARGIN_MS
     last = START_MS + KEYED_CELL_CLASS.deduplication_window_ms - reach_ms
-    assert repeat_obstacle(last - 1, pending, SETTINGS) is None
-    assert repeat_obstacle(last, pending, SETTINGS) is NotSentReason.WINDOW_OVER
+    assert not_repeated_reason(last - 1, pending, SETTINGS) is None
+    assert not_repeated_reason(last, pending, SETTINGS) is NotSentReason.WINDOW_OVER
 
 
 @pytest.mark.parametrize(
-    ("request_class", "same_cell", "obstacle"),
+    ("request_class", "same_cell", "reason"),
     [
         (IDEMPOTENT_CLASS, False, None),
         (KEYED_CELL_CLASS, True, None),
@@ -84,12 +88,12 @@
     ],
 )
 def test_a_second_copy_is_written_as_its_class_permits(
-    request_class: RequestClass, same_cell: bool, obstacle: NotSentReason | None
+    request_class: RequestClass, same_cell: bool, reason: NotSentReason | None
 ) -> None:
     subject, pending = sent_request(request_class)
     pending.record_possible_execution(0, START_MS)
     number = add_attempt(subject, pending, same_cell)
-    assert write_obstacle(START_MS + 1, pending, number, True, SETTINGS) is obstacle
+    assert not_written_reason(START_MS + 1, pending, number, True, SETTINGS) is reason
 
 
 def test_no_second_copy_is_written_without_hedging() -> None:
@@ -97,7 +101,8 @@
     number = add_attempt(subject, pending, True)
     unhedged = settings(hedging=False)
     assert (
-        write_obstacle(START_MS + 1, pending, number, True, unhedged) is NotSentReason.SECOND_COPY
+        not_written_reason(START_MS + 1, pending, number, True, unhedged)
+        is NotSentReason.SECOND_COPY
     )
 
 
@@ -106,25 +111,28 @@
     pending.record_possible_execution(0, START_MS)
     number = add_attempt(subject, pending, True)
     del pending.in_flight[0]
-    found = write_obstacle(START_MS + 1, pending, number, True, SETTINGS)
+    found = not_written_reason(START_MS + 1, pending, number, True, SETTINGS)
     assert found is NotSentReason.NOT_REPEATABLE
 
 
 def test_nothing_is_written_past_the_deadline_or_the_window_or_to_a_backend_that_left() -> None:
     subject, pending = sent_request(KEYED_CELL_CLASS)
-    assert write_obstacle(START_MS + 1, pending, 0, True, SETTINGS) is None
+    assert not_written_reason(START_MS + 1, pending, 0, True, SETTINGS) is None
+    assert (
+        not_written_reason(START_MS + 1, pending, 0, False, SETTINGS)
+        is NotSentReason.BACKEND_NOT_READY
+    )
     assert (
-        write_obstacle(START_MS + 1, pending, 0, False, SETTINGS) is NotSentReason.BACKEND_NOT_READY
+        not_written_reason(pending.deadline, pending, 0, True, SETTINGS) is NotSentReason.DEADLINE
     )
-    assert write_obstacle(pending.deadline, pending, 0, True, SETTINGS) is NotSentReason.DEADLINE
     pending.record_possible_execution(0, START_MS)
     number = add_attempt(subject, pending, True)
     late = START_MS + KEYED_CELL_CLASS.deduplication_window_ms - ARRIVAL_MARGIN_MS
-    assert write_obstacle(late, pending, number, True, SETTINGS) is NotSentReason.WINDOW_OVER
+    assert not_written_reason(late, pending, number, True, SETTINGS) is NotSentReason.WINDOW_OVER
 
 
 def test_a_concluded_request_is_not_written() -> None:
     subject, _pending = sent_request(IDEMPOTENT_CLASS)
-    assert subject.write_obstacle(START_MS + 1, 1, 0) is None
+    assert subject.not_written_reason(START_MS + 1, 1, 0) is None
     subject.pending.clear()
-    assert subject.write_obstacle(START_MS + 1, 1, 0) is NotSentReason.CONCLUDED
+    assert subject.not_written_reason(START_MS + 1, 1, 0) is NotSentReason.CONCLUDED
--- a/tests/policy/test_connection_rules.py
+++ b/tests/policy/test_connection_rules.py
@@ -5,27 +5,27 @@
 import pytest
 
 from sumacpost.policy.connection_rules import (
-    CloseObstacle,
     ConnectionSnapshot,
-    close_obstacle,
+    NotClosedReason,
     is_last_response,
+    not_closed_reason,
 )
 
 
 @pytest.mark.parametrize(
-    ("snapshot", "obstacle"),
+    ("snapshot", "reason"),
     [
         (ConnectionSnapshot(0, 0, False, False), None),
-        (ConnectionSnapshot(1, 5, True, True), CloseObstacle.RESPONSE_OWED),
-        (ConnectionSnapshot(0, 5, True, True), CloseObstacle.REQUEST_READ),
-        (ConnectionSnapshot(0, 0, True, True), CloseObstacle.REQUEST_INCOMPLETE),
-        (ConnectionSnapshot(0, 0, False, True), CloseObstacle.REQUEST_UNREAD),
+        (ConnectionSnapshot(1, 5, True, True), NotClosedReason.RESPONSE_OWED),
+        (ConnectionSnapshot(0, 5, True, True), NotClosedReason.REQUEST_READ),
+        (ConnectionSnapshot(0, 0, True, True), NotClosedReason.REQUEST_INCOMPLETE),
+        (ConnectionSnapshot(0, 0, False, True), NotClosedReason.REQUEST_UNREAD),
     ],
 )
 def test_a_connection_is_closed_only_at_rest(
-    snapshot: ConnectionSnapshot, obstacle: CloseObstacle | None
+    snapshot: ConnectionSnapshot, reason: NotClosedReason | None
 ) -> None:
-    assert close_obstacle(snapshot) is obstacle
+    assert not_closed_reason(snapshot) is reason
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/test_fleet_scale.py
+++ b/tests/policy/test_fleet_scale.py
@@ -53,8 +53,8 @@
 
 def test_work_of_an_event_does_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     """Counted in forecasts, not in seconds."""
-    forecasts = Counter[int]()
-    forecast = LoadBalancer.forecast
+    estimate_counts = Counter[int]()
+    expected_latency_ms = LoadBalancer.expected_latency_ms
     backends = 0
 
     def counted(
@@ -64,10 +64,10 @@
         pending: PendingRequest,
         fleet_inflation: float,
     ) -> float:
-        forecasts[backends] += 1
-        return forecast(balancer, now, backend, pending, fleet_inflation)
+        estimate_counts[backends] += 1
+        return expected_latency_ms(balancer, now, backend, pending, fleet_inflation)
 
-    monkeypatch.setattr(LoadBalancer, "forecast", counted)
+    monkeypatch.setattr(LoadBalancer, "expected_latency_ms", counted)
     for backends in (10, 1000):
         g = Gateway(gateway(gateways=2).settings, 1)
         g.handle(START_MS, endpoint_list_update(*range(1, backends + 1)))
@@ -75,8 +75,8 @@
             now = START_MS + number * 10
             for send in actions_of_type(g.handle(now, request_arrived(number)), Send):
                 g.handle(now, attempt_ended(number, send.backend))
-    assert forecasts[10] / 100 <= 10
-    assert forecasts[1000] / 100 <= 16
+    assert estimate_counts[10] / 100 <= 10
+    assert estimate_counts[1000] / 100 <= 16
 
 
 def test_backend_that_fails_one_class_loses_that_class_only() -> None:
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -79,10 +79,10 @@
     later = START_MS + 2000
     overdue = g.endpoints.backends[send.backend]
     idle = g.endpoints.backends[3 - send.backend]
-    forecast = g.load_balancer.forecast
+    expected_latency_ms = g.load_balancer.expected_latency_ms
     fleet_inflation = g.estimate.inflation.current(later)
-    assert forecast(later, overdue, g.pending[1], fleet_inflation) > 1000
-    assert forecast(later, idle, g.pending[1], fleet_inflation) < 1000
+    assert expected_latency_ms(later, overdue, g.pending[1], fleet_inflation) > 1000
+    assert expected_latency_ms(later, idle, g.pending[1], fleet_inflation) < 1000
 
 
 def test_requests_are_spread_over_equal_backends() -> None:
--- a/tests/policy/test_shutdown.py
+++ b/tests/policy/test_shutdown.py
@@ -36,7 +36,7 @@
         schedule.min_accept_ms,
         schedule.max_accept_ms,
         schedule.respond_within_ms,
-        schedule.end_within_ms,
+        schedule.exit_within_ms,
         schedule.kill_after_ms,
     ]
     assert steps == sorted(steps)
--- a/tests/upstream/test_stalled_responses.py
+++ b/tests/upstream/test_stalled_responses.py
@@ -102,15 +102,17 @@
             gateway, clock = ingress.gateway, ingress.bridge._clock
             (backend,), (call,) = gateway.endpoints.backends.values(), gateway.pending.values()
 
-            def forecast(now: float) -> float:
+            def expected_latency_ms(now: float) -> float:
                 fleet_inflation = gateway.estimate.inflation.current(now)
-                return gateway.load_balancer.forecast(now, backend, call, fleet_inflation)
+                return gateway.load_balancer.expected_latency_ms(
+                    now, backend, call, fleet_inflation
+                )
 
             began = clock.now()
             await asyncio.sleep(0.5)
-            assert forecast(clock.now()) > 400
+            assert expected_latency_ms(clock.now()) > 400
             assert (await ingress.send(request("vat-filing", 2))).status == 200
             assert began + 500 <= backend.responded_at + 1
-            assert forecast(backend.responded_at + 1) < 400
+            assert expected_latency_ms(backend.responded_at + 1) < 400
 
     run(test())
