--- a/sumacpost/discovery/endpoint_list.py
+++ b/sumacpost/discovery/endpoint_list.py
@@ -200,7 +200,7 @@
     def _choose_deduplication_peers(self) -> None:
         """Choose the same number of peers for each cell with a backend in the partition.
 
-        Peers kept since the last list take precedence.
+        Peers that were chosen for the last list take precedence.
         """
         cells: set[int] = set()
         peers_by_cell: dict[int, list[BackendId]] = {}
@@ -247,7 +247,7 @@
         self._partition_backend_count = 0  # known backends without deduplication peers
 
     def is_deduplication_peer(self, backend: BackendId) -> bool:
-        """Return whether a backend of another partition is kept since the last list."""
+        """Return whether a backend of another partition is known from the last list."""
         return self.has_cell_scope and backend in self._known_backends
 
     def rank(self, backend: BackendId) -> int:
--- a/sumacpost/discovery/start_times.py
+++ b/sumacpost/discovery/start_times.py
@@ -23,7 +23,7 @@
     the fleet's by at most the difference between the time at which a report arrives, on this clock,
     and the reported start; the smallest such difference is used as the offset between the clocks.
     Where starts are reported late, backends look younger than they are, which costs a part of their
-    capacity for a time. Backends never look older than they are.
+    capacity for a time. With this offset they never look older than they are.
 
     The first list reports all starts late. It is used to estimate the offset as well if most of its
     backends started long ago: the others are few, and may be cold. If most backends have a start
@@ -44,28 +44,28 @@
         """
         now = self._now_ms()
         if update.kind in (UpdateKind.FULL, UpdateKind.CACHED):
-            self._forget_unlisted(update.entries)
+            self._remove_unlisted(update.entries)
         if live or _most_started_long_ago(update.entries):
-            self._compare_clocks(now, update.entries)
+            self._update_clock_offset(now, update.entries)
         for entry in update.entries:
             if entry.state is EndpointStatus.GONE:
                 self._converted.pop(entry.backend, None)
             elif entry.up_since_ms:
                 entry.up_since_ms = self._convert(now, entry)
 
-    def _forget_unlisted(self, entries: Iterable[Endpoint]) -> None:
+    def _remove_unlisted(self, entries: Iterable[Endpoint]) -> None:
         listed = {entry.backend for entry in entries}
         for backend in [backend for backend in self._converted if backend not in listed]:
             del self._converted[backend]
 
-    def _compare_clocks(self, now: float, entries: Iterable[Endpoint]) -> None:
+    def _update_clock_offset(self, now: float, entries: Iterable[Endpoint]) -> None:
         for entry in entries:
-            if entry.up_since_ms and not self._is_known(entry):
+            if entry.up_since_ms and not self._is_converted(entry):
                 self._clock_offset_ms = min(
                     self._clock_offset_ms, max(0.0, now - entry.up_since_ms)
                 )
 
-    def _is_known(self, entry: Endpoint) -> bool:
+    def _is_converted(self, entry: Endpoint) -> bool:
         known = self._converted.get(entry.backend)
         return known is not None and known[0] == entry.up_since_ms
 
@@ -75,7 +75,7 @@
         The result is the same each time that the start is listed. A later start of the same backend
         gets a later time, even if the estimate of the offset has changed since.
         """
-        if not self._is_known(entry):
+        if not self._is_converted(entry):
             offset_ms = self._clock_offset_ms if self._clock_offset_ms < inf else 0.0
             start = min(now, entry.up_since_ms + offset_ms)
             previous_boot_ms, previous_start_ms = self._converted.get(entry.backend, (inf, 0.0))
@@ -86,5 +86,6 @@
 
 
 def _most_started_long_ago(entries: Sequence[Endpoint]) -> bool:
+    """Return whether at least half of the entries have no start time, which means long ago."""
     started = sum(1 for entry in entries if entry.up_since_ms)
     return 2 * started <= len(entries)
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -79,11 +79,13 @@
 
 
 def test_partitions_of_all_gateways_cover_the_whole_list() -> None:
-    held = [
+    addresses = [
         EndpointListReader((), (), GATEWAYS, index).read(encode(full_list(2000))).addresses
         for index in (0, 1)
     ]
-    assert {*held[0], *held[1]} == {backend_id(f"s-{number:08x}") for number in range(2000)}
+    assert {*addresses[0], *addresses[1]} == {
+        backend_id(f"s-{number:08x}") for number in range(2000)
+    }
 
 
 def test_deduplication_peers_are_stored_and_updated_for_each_cell_of_the_partition() -> None:
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -61,8 +61,8 @@
 def test_outcome_follows_from_the_response(script: Script, outcome: Outcome) -> None:
     async def test() -> None:
         async with Peer(script) as peer:
-            got, response = await AttemptRecorder(peer.port).outcome()
-            assert got is outcome
+            actual, response = await AttemptRecorder(peer.port).outcome()
+            assert actual is outcome
             if outcome is Outcome.OK:
                 assert response is not None
                 assert response.body == b"done"
--- a/tests/upstream/test_connection_races.py
+++ b/tests/upstream/test_connection_races.py
@@ -217,8 +217,8 @@
 
         async with Peer(early, first_bytes) as peer:
             outcomes = AttemptRecorder(peer.port)
-            got, _ = await outcomes.outcome(b"x" * 50_000_000)
-            assert got is outcome
+            actual, _ = await outcomes.outcome(b"x" * 50_000_000)
+            assert actual is outcome
             assert outcomes.pool_manager.open_connections == 0
 
     run(test())
--- a/tests/upstream/test_forwarding.py
+++ b/tests/upstream/test_forwarding.py
@@ -20,10 +20,10 @@
         async with running_ingress(
             respond(body, head=b"Billed-Units: 3\r\nContent-Type: x/y\r\n")
         ) as ingress:
-            status, head, got = await ingress.send(
+            status, head, actual = await ingress.send(
                 request("payment-book", Idempotency_Key="5c" * 16)
             )
-            assert (status, got) == (200, body)
+            assert (status, actual) == (200, body)
             assert b"content-type: x/y" in head.lower()
             (sent,) = ingress.backends[0].requests
             assert sent.startswith(b"POST /payment-book/7?year=3 HTTP/1.1\r\n")
--- a/tests/upstream/test_stalled_responses.py
+++ b/tests/upstream/test_stalled_responses.py
@@ -91,7 +91,7 @@
 
 
 def test_silent_connection_does_not_block_requests_to_its_backend() -> None:
-    """The backend still responds on its other connections."""
+    """A response on another connection shows that the backend still works."""
 
     async def test() -> None:
         async with running_ingress(first_only(never_respond)) as ingress:
--- a/tests/upstream/test_unbounded_responses.py
+++ b/tests/upstream/test_unbounded_responses.py
@@ -49,8 +49,8 @@
     async def test() -> None:
         async with Peer(script) as peer:
             outcomes = AttemptRecorder(peer.port)
-            got, response = await outcomes.outcome()
-            assert got is outcome
+            actual, response = await outcomes.outcome()
+            assert actual is outcome
             if outcome is Outcome.OK:
                 assert response is not None
                 assert not response.keep_alive
@@ -64,8 +64,8 @@
 
     async def test() -> None:
         async with Peer(send_bytes(HEAD + b"half", close=False)) as peer:
-            got, _ = await AttemptRecorder(peer.port).outcome()
-            assert got is Outcome.RESET
+            actual, _ = await AttemptRecorder(peer.port).outcome()
+            assert actual is Outcome.RESET
 
     run(test())
 
