--- a/sumacpost/server/connection_protocols.py
+++ b/sumacpost/server/connection_protocols.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol, TypeVar
 
-from sumacpost.policy.connection_rules import CloseObstacle
+from sumacpost.policy.connection_rules import NotClosedReason
 from sumacpost.server.close_reason import CloseReason
 
 
@@ -14,7 +14,7 @@
     def has_disconnected(self) -> bool:
         """Return whether the client has disconnected, even if the loop has not detected it yet."""
 
-    def close_obstacle(self) -> CloseObstacle | None:
+    def not_closed_reason(self) -> NotClosedReason | None:
         """Return why the connection may not be closed now, or None if it may."""
 
     def on_request_timeout(self, reason: CloseReason) -> None:
