--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -105,9 +105,7 @@
     def update_endpoints(self, update: EndpointListUpdate, addresses: AddressByBackend) -> None:
         """Apply an endpoint list update to the gateway and to the connection pools."""
         for entry in update.entries:
-            self.backends.update_endpoint(
-                entry.backend, addresses[entry.backend], entry.up_since_ms
-            )
+            self.backends.update_address(entry.backend, addresses[entry.backend], entry.up_since_ms)
         self._handle(update)
         self.backends.apply_update(update)
         self.ready = self.ready or bool(addresses)
@@ -309,7 +307,7 @@
             self.cancel_request(pending)
         if attempt.ended:
             return False
-        reason = self._gateway.write_obstacle(self._clock.now(), pending.number, attempt.index)
+        reason = self._gateway.not_written_reason(self._clock.now(), pending.number, attempt.index)
         if reason is None and not attempt.retryable and pending.other_attempt_may_have_run(attempt):
             # Checked here independently of the gateway: a fault in the gateway's state must not
             # cause a second execution of the request.
