--- a/fleetlab/soak/behaviour.py
+++ b/fleetlab/soak/behaviour.py
@@ -15,9 +15,7 @@
     HANG = "hang"  # no response, and the connection stays open
     ERROR = "error"  # status 500
     NOT_STARTED = "not_started"  # status 503 with Not-Started: 1
-    UNBOUNDED = (
-        "unbounded"  # served without a length; the close of the connection ends the response
-    )
+    UNBOUNDED = "unbounded"  # served without a length; the response ends with the connection
     UNBOUNDED_IN_PIECES = "unbounded_in_pieces"  # the same, written in two pieces
     UNBOUNDED_RESET = "unbounded_reset"  # no length, half of the body, then a reset
     TRUNCATED = "truncated"  # a body shorter than the stated length, then a close
--- a/fleetlab/soak/endpoint_list.py
+++ b/fleetlab/soak/endpoint_list.py
@@ -94,9 +94,9 @@
         self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         query = parse_qs(urlsplit(head.split(b" ", 2)[1].decode()).query)
-        known = int(query["from"][0]) if "from" in query else None
+        known_version = int(query["from"][0]) if "from" in query else None
         hold_s = float(query.get("hold_ms", ["0"])[0]) / 1000
-        if known == self._shared.list.version and self.fault is AgentFault.NONE:
+        if known_version == self._shared.list.version and self.fault is AgentFault.NONE:
             try:
                 async with asyncio.timeout(min(hold_s, MAX_HOLD_S)):
                     await self._shared.changed.wait()
@@ -108,8 +108,8 @@
             case AgentFault.RESET:
                 reset_connection(cast(asyncio.Transport, writer.transport))
                 return False
-        changes = None if known is None else self._shared.list.encode_changes(known)
-        notified = self._shared.changes_since(known if changes is not None else None)
+        changes = None if known_version is None else self._shared.list.encode_changes(known_version)
+        delivered = self._shared.changes_since(known_version if changes is not None else None)
         body = changes if changes is not None else self._shared.list.encode_full()
         # An ingress that has moved to a new agent has closed its end and is not notified here.
         if writer.transport.is_closing() or reader.at_eof():
@@ -122,7 +122,7 @@
         )
         await writer.drain()
         now = time.monotonic()
-        self.notifications += [ListChange(self.ingress, c.backend, c.state, now) for c in notified]
+        self.notifications += [ListChange(self.ingress, c.backend, c.state, now) for c in delivered]
         return not self.unbounded
 
 
--- a/fleetlab/soak/evidence.py
+++ b/fleetlab/soak/evidence.py
@@ -117,7 +117,9 @@
 
     def has_drained(self, process: ProcessRecord) -> bool:
         """Return whether a process logged the end of its drain."""
-        processes = [known for known in self.record.lives if known.ingress == process.ingress]
+        processes = [
+            candidate for candidate in self.record.lives if candidate.ingress == process.ingress
+        ]
         logs = self.logs.get(process.ingress, "").split("serving: name=")[1:]
         index = processes.index(process)
         return index < len(logs) and "drain finished" in logs[index]
--- a/fleetlab/soak/faults.py
+++ b/fleetlab/soak/faults.py
@@ -180,12 +180,12 @@
             await asyncio.sleep(fault.gap_s)
 
     async def _system_fault(self, process: IngressProcess, fault: PlannedFault) -> None:
-        failing, probability = _SYSTEM_FAULTS[fault.kind]
+        system_fault, probability = _SYSTEM_FAULTS[fault.kind]
         began_at = time.monotonic()
-        process.system_faults.set_probability(failing, probability)
+        process.system_faults.set_probability(system_fault, probability)
         await asyncio.sleep(fault.seconds)
-        process.system_faults.set_probability(failing, 0.0)
-        if failing is SystemFault.BROKEN_CONNECTION:
+        process.system_faults.set_probability(system_fault, 0.0)
+        if system_fault is SystemFault.BROKEN_CONNECTION:
             broken = BrokenConnectionPeriod(process.name, began_at, time.monotonic())
             self.record.broken_paths.append(broken)
 
--- a/fleetlab/soak/ingress_process.py
+++ b/fleetlab/soak/ingress_process.py
@@ -104,10 +104,10 @@
 
     async def _enable_event_log(self) -> None:
         """Switch on the live event log, from which the oracles read the accepted requests."""
-        began = len(self.log_text())
+        log_size = len(self.log_text())
         self.send_signal(signal.SIGUSR2)
         async with asyncio.timeout(READY_TIMEOUT_S):
-            while self.running and "event log: live=True" not in self.log_text()[began:]:
+            while self.running and "event log: live=True" not in self.log_text()[log_size:]:
                 await asyncio.sleep(READY_POLL_S)
 
     def open_descriptors(self) -> int:
--- a/fleetlab/soak/planted_faults.py
+++ b/fleetlab/soak/planted_faults.py
@@ -84,8 +84,8 @@
 
 def run_planted(fault: PlantedFault) -> SoakResult:
     """Run the soak on a copy of the program with a fault, and return its result."""
-    with tempfile.TemporaryDirectory(prefix="planted-") as name:
-        folder = Path(name)
+    with tempfile.TemporaryDirectory(prefix="planted-") as path:
+        folder = Path(path)
         shutil.copytree(ROOT / PACKAGE, folder / PACKAGE)
         plant(fault, folder)
         options = {"--seeds": fault.seed, "--ingresses": INGRESSES, "--seconds": SECONDS}
@@ -102,11 +102,11 @@
         return msgspec.json.decode(line, type=SoakResult)
 
 
-def run_all(name: str = "") -> Iterator[tuple[PlantedFault, dict[str, int]]]:
+def run_all(text: str = "") -> Iterator[tuple[PlantedFault, dict[str, int]]]:
     """Run each fault whose name contains a text; yield it with its violations, counted by rule."""
     for fault in read_planted_faults():
-        if name in fault.name:
-            found: dict[str, int] = {}
+        if text in fault.name:
+            counts: dict[str, int] = {}
             for violation in run_planted(fault).violations:
-                found[violation.rule] = found.get(violation.rule, 0) + 1
-            yield fault, found
+                counts[violation.rule] = counts.get(violation.rule, 0) + 1
+            yield fault, counts
--- a/fleetlab/soak/runs.py
+++ b/fleetlab/soak/runs.py
@@ -44,8 +44,8 @@
     """
     out.mkdir(parents=True, exist_ok=True)
     plan = plan_for_seed(seed, ingresses, seconds)
-    with tempfile.TemporaryDirectory(prefix="soak-") as name:
-        folder = Path(name)
+    with tempfile.TemporaryDirectory(prefix="soak-") as path:
+        folder = Path(path)
         result, evidence = await run_plan(plan, folder)
         if result.violations:
             _save_failed_run(out / f"seed-{seed}", folder, result, evidence)
--- a/fleetlab/soak/schedule.py
+++ b/fleetlab/soak/schedule.py
@@ -32,7 +32,11 @@
 
 
 class FaultKind(Enum):
-    """The kinds of faults; the values are for reports."""
+    """The kinds of faults; the values are for reports.
+
+    A system fault makes some calls of one ingress fail for its duration. A counter fault affects
+    the path of all ingresses to the counter.
+    """
 
     RESTART = "restart"  # a series of signals, the earliest SIGKILL, then a new process
     KILL = "kill"  # SIGKILL without an earlier signal, then a new process
@@ -44,20 +48,18 @@
     BACKEND_RESETS_LATE = "backend_resets_late"  # resets during requests in progress
     BACKEND_UNBOUNDED = "backend_unbounded"  # responses without a stated length, some of them reset
     BACKEND_CRASHES = "backend_crashes"  # refuses and resets connections, then restarts
-    BACKEND_UNREACHABLE = (
-        "backend_unreachable"  # new connections are not established, open ones are silent
-    )
+    BACKEND_UNREACHABLE = "backend_unreachable"  # no new connections, open ones are silent
     BACKEND_DRAINS = "backend_drains"  # draining, removed, then ready as a new incarnation
     BACKEND_FORGETS = "backend_forgets"  # idle connections are reset at their next request
     LIST_SILENT = "list_silent"
     LIST_RESET = "list_reset"
     LIST_TORN = "list_torn"
     LIST_UNBOUNDED = "list_unbounded"
-    COUNTER_DELAYED = "counter_delayed"  # on the path of all ingresses to the counter
+    COUNTER_DELAYED = "counter_delayed"  # each chunk is delayed
     COUNTER_SILENT = "counter_silent"
     COUNTER_RESET = "counter_reset"
     COUNTER_HALF_CLOSED = "counter_half_closed"
-    SYSTEM_ACCEPT = "system_accept"  # accept fails in an ingress for the duration of the fault
+    SYSTEM_ACCEPT = "system_accept"  # accepting connections fails
     SYSTEM_SOCKET = "system_socket"
     SYSTEM_CONNECT = "system_connect"
     SYSTEM_INTERRUPTS = "system_interrupts"  # waits for events are interrupted
--- a/fleetlab/soak/stress_plans.py
+++ b/fleetlab/soak/stress_plans.py
@@ -25,9 +25,7 @@
 SILENT_INGRESS_SHARE = 0.2  # fraction of the ingresses whose agents are silent
 WAVES = 2  # number of waves of hanging backends, each with restarts of half of the ingresses
 WAVE_DURATION_S = 5.0
-DISTURBED_INGRESS_SHARE = (
-    0.25  # fraction of the ingresses that may be restarted, paused or reloaded
-)
+DISTURBED_INGRESS_SHARE = 0.25  # fraction of ingresses that may be restarted, paused or reloaded
 PAUSE_DEADLINES_S = (0.3, 0.6)  # choices for the longest deadline; many pauses outlast one
 PAUSE_INTERVAL_S = 0.6  # mean time between two pauses of an ingress
 
--- a/tests/soak/test_schedule.py
+++ b/tests/soak/test_schedule.py
@@ -43,7 +43,7 @@
 
 
 def test_shutdown_seed_restarts_all_ingresses_while_backends_hang() -> None:
-    """Guards against restarts without any hanging backend, which lose no request."""
+    """Guards against restarts without hanging backends, which could not show a lost request."""
     plan = plan_for_seed(FIRST_SHUTDOWN_SEED + 1, 6, 12.0)
     restarts = [fault for fault in plan.faults if fault.kind is FaultKind.RESTART]
     assert {fault.target for fault in restarts} == set(range(6))
