--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -1,4 +1,4 @@
-"""The pools of a fleet of one backend, and the outcomes of its attempts."""
+"""Connection pools for a single backend, and the outcomes of its attempts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,12 @@
 
 
 class AttemptRecorder:
-    """A fleet of one backend, at a port of this machine; records the outcomes of its attempts."""
+    """Starts attempts on a single backend on loopback and records their outcomes.
+
+    Attributes:
+        ended_attempts: the ended attempts with outcome and response, in order of their ends.
+        pool_manager: the connection pools under test; the backend has number 1.
+    """
 
     def __init__(self, port: int, max_connections: int = 10, idle_timeout_s: float = 30.0) -> None:
         self.ended_attempts: list[tuple[Attempt, Outcome, Response | None]] = []
@@ -25,14 +30,14 @@
         self.pool_manager.update_address(1, ("127.0.0.1", port))
 
     def start(self, payload: bytes = PAYLOAD) -> Attempt:
-        """Begin an attempt; assert that its outcome does not come within the call."""
+        """Start an attempt; assert that its outcome is not reported during the call."""
         attempt = Attempt(None, 0, 1, lambda: payload, 0.0)
         self.pool_manager.start(attempt)
         assert not any(a is attempt for a, _, _ in self.ended_attempts)
         return attempt
 
     async def outcome(self, payload: bytes = PAYLOAD) -> tuple[Outcome, Response | None]:
-        """Begin an attempt and return how it ended."""
+        """Start an attempt, wait for its end and return its outcome and response."""
         attempt = self.start(payload)
         await until(lambda: any(a is attempt for a, _, _ in self.ended_attempts))
         return next((o, r) for a, o, r in self.ended_attempts if a is attempt)
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,4 +1,4 @@
-"""Builders of settings, events and gateways."""
+"""Builders of settings, events and gateways for policy tests."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Return usual settings with these changes."""
+    """Return the default test settings with the given changes."""
     base = Settings(
         gateways=2,
         index=0,
@@ -65,26 +65,34 @@
     kind: UpdateKind = UpdateKind.FULL,
     up: float = 0.0,
 ) -> EndpointListUpdate:
-    """Return an endpoint list of these backends, all in one state, in cells by even and odd."""
+    """Return an endpoint list update with these backends, all in the same state.
+
+    Even backends are in cell 0 and odd ones in cell 1.
+
+    up: the start of all backends, in ms.
+    """
     return EndpointListUpdate(kind, [Endpoint(i, state, cell=i % 2, up_since_ms=up) for i in ids])
 
 
 def gateway(*ids: int, seed: int = 7, **changes: Any) -> Gateway:
-    """Return a gateway that knows these backends, or 1 to 4."""
-    made = Gateway(settings(**changes), seed)
-    made.handle(START_MS, endpoint_list_update(*(ids or (1, 2, 3, 4))))
-    return made
+    """Return a gateway whose endpoint list contains these backends, by default 1 to 4."""
+    new_gateway = Gateway(settings(**changes), seed)
+    new_gateway.handle(START_MS, endpoint_list_update(*(ids or (1, 2, 3, 4))))
+    return new_gateway
 
 
 def gateway_with_customer(
     tokens: float, plan: Plan, **changes: Any
 ) -> tuple[Gateway, CustomerQuota]:
-    """Return one gateway of four, without a counter, and its customer 9 with so many tokens."""
-    made = gateway(*range(1, 30), plans=(plan,), gateways=4, **changes)
+    """Return one gateway of four, without a counter, and its customer 9.
+
+    tokens: the content of the customer's quota bucket, in units.
+    """
+    new_gateway = gateway(*range(1, 30), plans=(plan,), gateways=4, **changes)
     customer = CustomerQuota(plan, 4, START_MS, 9)
     customer.tokens = tokens
-    made.customers.by_number[9] = customer
-    return made, customer
+    new_gateway.customers.by_number[9] = customer
+    return new_gateway, customer
 
 
 def actions_of_type(actions: Iterable[Action], kind: type[ActionType]) -> list[ActionType]:
@@ -93,9 +101,9 @@
 
 
 def only_action(kind: type[ActionType], actions: Iterable[Action]) -> ActionType:
-    """Return the only action of a type; there may be others of other types."""
-    (found,) = actions_of_type(actions, kind)
-    return found
+    """Return the only action of a type; there may be actions of other types."""
+    (action,) = actions_of_type(actions, kind)
+    return action
 
 
 def request_arrived(
@@ -108,7 +116,10 @@
     time_left_ms: float = 4000.0,
     retry: bool = False,
 ) -> RequestArrived:
-    """Return the arrival of a request, numbered and of the class at this place in the settings."""
+    """Return the arrival event of a request.
+
+    request_class: the index of the class in the settings.
+    """
     return RequestArrived(
         number, customer, plan, request_class, units, 0, gateway_spread, time_left_ms, retry
     )
@@ -122,6 +133,6 @@
     elapsed_ms: float = 100.0,
     units: float = 0.0,
 ) -> AttemptEnded:
-    """Return the end of an attempt; a good one concludes its request."""
+    """Return the end event of an attempt; the outcome OK concludes its request."""
     concluded = outcome is Outcome.OK
     return AttemptEnded(number, attempt, backend, outcome, elapsed_ms, concluded, None, units)
--- a/tests/support/connection_gate.py
+++ b/tests/support/connection_gate.py
@@ -1,4 +1,4 @@
-"""A gate that holds up connections to backends."""
+"""A gate that delays connections to backends."""
 
 from __future__ import annotations
 
@@ -11,10 +11,14 @@
 
 
 class ConnectionGate:
-    """Holds up every attempt to connect to a backend until it is opened."""
+    """Delays every call that connects to a backend until the gate is opened.
+
+    Attributes:
+        connect_calls: how many such calls there have been.
+    """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.connect_calls = 0  # attempts to connect so far
+        self.connect_calls = 0
         self._opened = asyncio.Event()
         original = ConnectionPool._connect
 
@@ -26,5 +30,5 @@
         monkeypatch.setattr(ConnectionPool, "_connect", connect_once_open)
 
     def open(self) -> None:
-        """Let all attempts to connect go on, also later ones."""
+        """Let all calls that connect continue, including later ones."""
         self._opened.set()
--- a/tests/support/counter_calls.py
+++ b/tests/support/counter_calls.py
@@ -1,4 +1,4 @@
-"""A client of the counter that records its replies, and the reader of the calls it makes."""
+"""A counter client that records replies, and a reader of the calls that it sends."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def read_counter_call(reader: asyncio.StreamReader) -> bytes:
-    """Read one RESP2 array of bulk strings and return these joined by spaces."""
+    """Read one RESP2 array of bulk strings and return the strings joined by spaces."""
     parts = []
     for _ in range(int((await reader.readuntil())[1:])):
         size = int((await reader.readuntil())[1:])
@@ -23,7 +23,7 @@
 
 
 class CallOutcome(NamedTuple):
-    """What came of one call: its customer's name in the counter, the outcome and the total."""
+    """The result of one call: the customer's name in the counter, the outcome and the total."""
 
     name: int
     outcome: Outcome
@@ -31,7 +31,14 @@
 
 
 class RecordedCounterClient:
-    """A running client of the counter and the replies that it has reported."""
+    """A running counter client and the replies that it has reported.
+
+    Attributes:
+        replies: the reported replies, oldest first.
+        client: the counter client.
+        first_connect_attempted: set when the first attempt to connect has ended.
+        task: runs the client.
+    """
 
     def __init__(self, peer: Peer, timeout_s: float = 5.0) -> None:
         self.replies: list[CounterReplied] = []
@@ -40,13 +47,13 @@
         self.task = asyncio.create_task(self.client.run(self.first_connect_attempted))
 
     async def outcomes(self, count: int) -> list[CallOutcome]:
-        """Wait for as many replies, and return the outcomes of all."""
+        """Wait for at least `count` replies, and return the outcomes of all replies so far."""
         await until(lambda: len(self.replies) >= count)
         return [CallOutcome(reply.name, reply.outcome, reply.total) for reply in self.replies]
 
     @property
     def totals(self) -> list[tuple[int, float]]:
-        """The names and totals of the replies so far."""
+        """The names and totals of all replies so far."""
         return [(reply.name, reply.total) for reply in self.replies]
 
 
@@ -54,7 +61,7 @@
 async def scripted_counter(
     script: Script, timeout_s: float = 5.0
 ) -> AsyncIterator[tuple[Peer, RecordedCounterClient]]:
-    """Run a scripted counter and a client of it that has made its first attempt to connect."""
+    """Run a scripted counter and a counter client that has made its first attempt to connect."""
     peer = Peer(script, read_counter_call)
     await peer.start()
     recorded = RecordedCounterClient(peer, timeout_s)
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -1,4 +1,4 @@
-"""A blocked event loop in which a client leaves as something else happens."""
+"""Blocks the event loop while a client disconnects and another event happens."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from tests.support.ingress import RunningIngress, running_ingress
 from tests.support.peers import OK_RESPONSE, Peer, never_respond, respond
 
-# More than the 0.1 s after which an attempt for a client that has gone is a fault.
+# More than 0.1 s: an attempt that starts more than 0.1 s after its client disconnects is a fault.
 BLOCKED_S = 0.15
-# So long that slow responses are never taken for an overload, in which requests are rejected.
+# Long enough that slow responses are never treated as an overload, which would cause rejections.
 LONG_OBJECTIVE_MS = 60_000.0
-# The request whose client leaves.
+# The number of the request whose client disconnects.
 REQUEST_NUMBER = 500
 
 
@@ -31,17 +31,17 @@
 
 
 def attempted_backends(ingress: RunningIngress, number: int = REQUEST_NUMBER) -> list[Peer]:
-    """Return the backends that received this request."""
+    """Return the backends that have received the request, once for each attempt."""
     return [b for b in ingress.backends for data in b.requests if b"%016x" % number in data]
 
 
 def pools(ingress: RunningIngress) -> list[ConnectionPool]:
-    """Return the pools of connections to the backends."""
+    """Return the connection pools of all backends."""
     return list(ingress.pool_manager._pools.values())
 
 
 async def until_attempted(ingress: RunningIngress, number: int = REQUEST_NUMBER) -> None:
-    """Wait for the first attempt of this request."""
+    """Wait for the first attempt of the request."""
     await until(lambda: len(attempted_backends(ingress, number)) == 1)
 
 
@@ -49,12 +49,13 @@
 async def ingress_with_idle_connections(
     backends: int = 2, settings: dict[str, Any] | None = None, **changes: Any
 ) -> AsyncIterator[RunningIngress]:
-    """Run an ingress with one reusable connection to each backend; these never respond again.
+    """Run an ingress with one reusable connection to each backend; backends do not respond again.
 
-    The first responses come only once all connections are up, however slow the machine is.
+    The first responses are sent only after all connections have been established, so the number of
+    connections does not depend on the speed of the machine.
     """
-    patient = [c | {"aim": LONG_OBJECTIVE_MS} for c in SETTINGS["categories"]]
-    changes["settings"] = {"categories": patient} | (settings or {})
+    long_objectives = [c | {"aim": LONG_OBJECTIVE_MS} for c in SETTINGS["categories"]]
+    changes["settings"] = {"categories": long_objectives} | (settings or {})
     async with running_ingress(*[never_respond] * backends, **changes) as ingress:
         for number in range(backends):
             client = await ingress.client()
@@ -76,7 +77,7 @@
     client_first: bool,
     blocked_s: float = BLOCKED_S,
 ) -> None:
-    """Block the loop while the client leaves and the event happens."""
+    """Block the event loop while the client disconnects and the event happens."""
     if client_first:
         client.disconnect(how)
         event()
@@ -89,7 +90,10 @@
 async def expect_attempt_only_if_client_stays(
     ingress: RunningIngress, how: str, attempts_before: int
 ) -> None:
-    """Check for one more attempt if the client stays, else for none while others are served."""
+    """Check for one more attempt if the client stays, and otherwise for no further attempt.
+
+    The ingress must still serve other clients.
+    """
     pending = ingress.bridge._pending
     if how == "stays":
         await until(lambda: len(attempted_backends(ingress)) == attempts_before + 1)
@@ -98,7 +102,7 @@
     await until(lambda: not any(p.request.id == request_id for p in pending.values()))
     for backend in ingress.backends:
         backend.script = respond()
-    # An attempt that was written before this one would have come by now.
+    # An attempt that was written before this one would have been received by now.
     assert (await ingress.send(slow_request(number=900))).status == 200
     assert len(attempted_backends(ingress)) == attempts_before
     assert REQUEST_NUMBER not in [int(p.request.id, 16) for p in pending.values()]
--- a/tests/support/discovery_agent.py
+++ b/tests/support/discovery_agent.py
@@ -1,4 +1,4 @@
-"""The agent of discovery: its endpoint lists, its protocol, and its faults."""
+"""A discovery agent for tests: its endpoint lists, its protocol, and its faults."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def endpoint_entry(peer: Peer, uid: str, state: str = "active", **changes: Any) -> Entry:
-    """Return the entry of an endpoint list for the peer."""
+    """Return the endpoint list entry of the peer."""
     return {
         "uid": uid,
         "endpoint": peer.address,
@@ -29,18 +29,23 @@
 
 
 def endpoint_list(version: int, *entries: Entry, full: bool = True) -> dict[str, Any]:
-    """Return a full endpoint list, or the changes up to the version."""
+    """Return a full endpoint list, or only the changes up to the version."""
     return {"rev": version, "all": full, "targets": list(entries)}
 
 
 def list_response(peer: Peer, uid: str, version: int) -> bytes:
-    """Return the response with a full endpoint list of just this peer."""
+    """Return a response whose full endpoint list contains only this peer."""
     return json_response(endpoint_list(version, endpoint_entry(peer, uid)))
 
 
 @dataclass(frozen=True)
 class Poll:
-    """A request for the endpoint list."""
+    """A request for the endpoint list.
+
+    Attributes:
+        known_version: the version that the sender has, or None if it has no list.
+        max_wait_s: how long the agent may wait for changes, in seconds.
+    """
 
     known_version: int | None
     max_wait_s: float
@@ -54,21 +59,28 @@
 
 
 class DiscoveryAgent:
-    """A script that follows the protocol of discovery: a long poll is held until there are changes.
+    """A script that implements the discovery protocol: a long poll waits until there are changes.
 
-    While a fault is injected, its script gets every poll, those that are held first.
+    While a fault is injected, its script handles all polls, including those that are waiting.
+
+    Attributes:
+        full_lists_without_draining: whether all responses are full lists without the endpoints
+            that are not active.
+        version: the version of the endpoint list.
+        entries: the endpoints by uid, each with the version of its last change.
+        fault: the script of the injected fault, or None.
+        held_polls: the long polls that are waiting for changes.
     """
 
     def __init__(self, full_lists_without_draining: bool = False) -> None:
-        # Whether responses are full lists, and draining endpoints are missing from these.
         self.full_lists_without_draining = full_lists_without_draining
         self.version = 5
-        self.entries: dict[str, tuple[int, Entry]] = {}  # by uid, with the version of the change
+        self.entries: dict[str, tuple[int, Entry]] = {}
         self.fault: Script | None = None
         self.held_polls: list[asyncio.Future[None]] = []
 
     def publish(self, *entries: Entry) -> None:
-        """Set the endpoints of the first version; no poll is answered before."""
+        """Set the endpoints of the first version; polls are answered only after this call."""
         self.entries = {entry["uid"]: (self.version, entry) for entry in entries}
 
     def change(self, *entries: Entry) -> None:
@@ -78,7 +90,7 @@
         self._release_polls()
 
     def inject_fault(self, fault: Script) -> None:
-        """Let the script treat all polls until `fault` is set to None."""
+        """Let the script handle all polls until `fault` is set to None."""
         self.fault = fault
         self._release_polls()
 
@@ -90,7 +102,7 @@
                 poll.set_result(None)
 
     def response(self, known_version: int | None) -> bytes:
-        """Return the response to a poll that knows this version, or none."""
+        """Return the response to a poll whose sender has this version, or no list if None."""
         full = known_version is None or self.full_lists_without_draining
         entries = [
             entry
@@ -106,7 +118,7 @@
         return poll.known_version is not None and poll.known_version >= self.version
 
     async def __call__(self, peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
-        """Treat one poll."""
+        """Handle one poll."""
         poll = parse_poll(data)
         await until(lambda: bool(self.entries))
         if self.fault is None and self._is_current(poll):
@@ -124,10 +136,10 @@
             self.held_polls.remove(released)
 
     def current_version_polled(self, peer: Peer) -> bool:
-        """Return whether a poll at the peer has shown that its sender has the current version."""
+        """Return whether the peer has received a poll whose sender has the current version."""
         return any(parse_poll(data).known_version == self.version for data in peer.requests)
 
-    # Scripts of faults.
+    # Fault scripts.
 
     async def truncate_and_close(
         self, peer: Peer, data: bytes, writer: asyncio.StreamWriter
@@ -143,7 +155,10 @@
         write_if_open(writer, self.response(None)[:-20])
 
     async def send_slowly(self, peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
-        """Send a response byte by byte that does not end before the caller has left."""
+        """Send a response byte by byte until its receiver disconnects.
+
+        At most 1000 of its 60,000 bytes are sent, at intervals of 0.05 s.
+        """
         write_if_open(writer, b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n")
         for _ in range(1000):
             if writer.is_closing():
@@ -152,7 +167,7 @@
             await asyncio.sleep(0.05)
 
     async def respond_late(self, peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
-        """Send each response complete, but after its poll has timed out."""
+        """Send each response completely, but only after its poll has timed out."""
         poll = parse_poll(data)
         await asyncio.sleep(poll.max_wait_s + 0.8)
         write_if_open(writer, self.response(poll.known_version))
@@ -160,7 +175,7 @@
     async def ignore_long_polls(
         self, peer: Peer, data: bytes, writer: asyncio.StreamWriter
     ) -> None:
-        """Respond where there are changes, and never to a poll that has to wait for one."""
+        """Respond only if there are changes already, and never to a poll that has to wait."""
         known = parse_poll(data).known_version
         if known is None or known < self.version:
             write_if_open(writer, self.response(known))
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of tests, and waiting on it."""
+"""The event loop of the tests, and a function that waits for a condition."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the event loop that the ingress uses; fail a test that hangs."""
+    """Run a test on the event loop that the ingress uses; fail it after 30 s."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(test, 30))
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; the time limit of `run` ends a wait in vain."""
+    """Wait until the condition is true; the time limit of `run` also ends this wait."""
     while not condition():
         await asyncio.sleep(0.005)
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -1,4 +1,4 @@
-"""Clients of the ingress and the requests that they send."""
+"""Clients of the ingress, and the requests that they send."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 from tests.support.peers import read_message
 
 HEALTH_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-LONG_TIMEOUT = "60.000"  # a Request-Timeout that no step of a test reaches
+LONG_TIMEOUT = "60.000"  # Request-Timeout in seconds; longer than any test
 
-# As the SO_LINGER of a socket: its close sends RST.
+# With this SO_LINGER value, closing the socket sends RST.
 LINGER_ZERO = struct.pack("ii", 1, 0)
 
 
 def request(request_class: str = "vat-filing", number: int = 1, **changes: str | None) -> bytes:
     """Return a request as a client sends it.
 
-    Each change names a header, with `_` for `-`, or `method`, `path` or `body`; None omits it.
+    Each keyword in `changes` is `method`, `path`, `body` or a header name with `_` instead of `-`.
+    The value None omits a header or body, and selects the default method or path.
     """
     method = "GET" if request_class == "ledger-read" else "POST"
     headers: dict[str, str | None] = {
@@ -44,7 +45,7 @@
 
 
 class Response(NamedTuple):
-    """A response as the client read it."""
+    """A response received by a client."""
 
     status: int
     head: bytes
@@ -52,14 +53,14 @@
 
 
 class Client:
-    """A client's connection."""
+    """A client connection on the event loop of the test."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
     def write(self, data: bytes) -> None:
-        """Write bytes of requests."""
+        """Write bytes to the connection."""
         self.writer.write(data)
 
     async def send(self, data: bytes) -> Response:
@@ -73,15 +74,15 @@
         return Response(int(head.split()[1]), head, body)
 
     async def read_responses(self, count: int) -> list[Response]:
-        """Return the next responses on the connection."""
+        """Return the next `count` responses on the connection."""
         return [await self.read_response() for _ in range(count)]
 
     async def read_to_end(self) -> bytes:
-        """Return all that still comes until the ingress closes the connection."""
+        """Return all bytes received until the ingress closes the connection."""
         return await self.reader.read()
 
     def pause_reading(self) -> None:
-        """Take no more bytes from the kernel."""
+        """Stop reading bytes from the socket."""
         self._transport.pause_reading()
 
     def resume_reading(self) -> None:
@@ -93,7 +94,7 @@
         return cast(asyncio.Transport, self.writer.transport)
 
     def disconnect(self, how: str) -> None:
-        """Leave at once, by a FIN ("closed") or by an RST ("reset")."""
+        """Disconnect immediately, with FIN ("closed") or with RST ("reset")."""
         if how == "reset":
             sock = self.writer.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
@@ -101,17 +102,21 @@
 
 
 class BlockingClient:
-    """A client on a blocking socket: the kernel has what it sends while the loop is blocked too."""
+    """A client on a blocking socket; it can send even while the event loop is blocked."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address)
 
     def write(self, data: bytes) -> None:
-        """Hand the bytes to the kernel."""
+        """Send all bytes to the kernel."""
         self.sock.sendall(data)
 
     def disconnect(self, how: str) -> None:
-        """Close, reset or end the sending; a client that stays does nothing."""
+        """Disconnect as `how` says.
+
+        "closed" and "reset" close the socket, "half closed" ends only its sending direction, and
+        any other value leaves the connection open.
+        """
         if how == "half closed":
             self.sock.shutdown(socket.SHUT_WR)
         elif how in ("closed", "reset"):
@@ -121,7 +126,7 @@
 
 
 async def send_once(port: int, data: bytes, timeout_s: float = 2.0) -> Response:
-    """Send a request on a new connection; the status is 0 if no response comes."""
+    """Send a request on a new connection; the status is 0 if there is no response in time."""
     try:
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/support/ingress.py
+++ b/tests/support/ingress.py
@@ -27,11 +27,21 @@
 
 @dataclass
 class RunningIngress:
-    """A running ingress and the peers that it is connected to, which can be stopped and changed."""
+    """A running ingress and its scripted peers, which a test can stop and change.
+
+    Attributes:
+        backends: the backends in its endpoint list.
+        discovery: the discovery agent.
+        counter: the counter; started only if the test gives a script for it.
+        config: the configuration file as parsed JSON.
+        stop: starts the drain when set.
+        task: runs the service.
+        service: the service of the ingress.
+    """
 
     backends: list[Peer]
     discovery: Peer
-    counter: Peer  # started only where the test gives it a script
+    counter: Peer
     config: dict[str, Any]
     stop: asyncio.Event
     task: asyncio.Task[None]
@@ -40,46 +50,46 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where clients connect."""
+        """The address for clients."""
         return self.service.address
 
     @property
     def requests_received(self) -> int:
-        """How many requests the backends have received altogether."""
+        """How many requests all backends together have received."""
         return sum(len(backend.requests) for backend in self.backends)
 
     @property
     def server(self) -> Server:
-        """The side of the clients."""
+        """The server for clients."""
         return self.service._server
 
     @property
     def bridge(self) -> Ingress:
-        """What connects sockets and gateway."""
+        """The object that connects sockets and gateway."""
         return self.service._ingress
 
     @property
     def gateway(self) -> Gateway:
-        """The decisions."""
+        """The gateway, which makes the decisions of the policy."""
         return self.bridge._gateway
 
     @property
     def pool_manager(self) -> PoolManager:
-        """The side of the backends."""
+        """The connection pools of the backends."""
         return self.bridge.backends
 
     @property
     def counter_client(self) -> CounterClient:
-        """The client of the counter, where there is one."""
+        """The counter client; assert that there is one."""
         assert self.bridge.counter is not None
         return self.bridge.counter
 
     async def wait_for_requests(self, count: int) -> None:
-        """Wait until the backends have received so many requests."""
+        """Wait until the backends have received exactly `count` requests in total."""
         await until(lambda: self.requests_received == count)
 
     async def client(self) -> Client:
-        """Connect a client, to be closed at the end."""
+        """Connect a client, which is closed at the end of the test."""
         reader, writer = await asyncio.open_connection(*self.address)
         self._resources.callback(writer.close)
         return Client(reader, writer)
@@ -98,9 +108,9 @@
     discovery: Script = never_respond,
     settings: dict[str, Any] | None = None,
 ) -> AsyncIterator[RunningIngress]:
-    """Run an ingress with a backend for each script, known to it from the start.
+    """Run an ingress whose initial endpoint list contains a backend for each script.
 
-    Settings replace whole sections of the usual ones.
+    settings: whole sections that replace those of the default settings.
     """
     async with AsyncExitStack() as resources:
         backends = [Peer(script) for script in scripts]
@@ -116,11 +126,13 @@
             config["counter"] = counter_peer.address
             config["settings"]["extra"]["has_counter"] = True
         stop = asyncio.Event()
-        serving: asyncio.Future[Service] = asyncio.get_running_loop().create_future()
-        task = asyncio.create_task(serve(read_config(json.dumps(config)), stop, serving.set_result))
-        first: set[asyncio.Future[Any]] = {task, serving}
-        await asyncio.wait(first, return_when=asyncio.FIRST_COMPLETED)
-        service = await serving
+        service_started: asyncio.Future[Service] = asyncio.get_running_loop().create_future()
+        task = asyncio.create_task(
+            serve(read_config(json.dumps(config)), stop, service_started.set_result)
+        )
+        startup: set[asyncio.Future[Any]] = {task, service_started}
+        await asyncio.wait(startup, return_when=asyncio.FIRST_COMPLETED)
+        service = await service_started
         resources.callback(task.cancel)
         yield RunningIngress(
             backends, discovery_agent, counter_peer, config, stop, task, service, resources
@@ -130,7 +142,7 @@
 def configuration(
     backends: list[Peer], discovery: Peer, sockets: int, settings: dict[str, Any]
 ) -> dict[str, Any]:
-    """Return the configuration file of an ingress among these peers, as parsed JSON."""
+    """Return the configuration file of an ingress with these peers, as parsed JSON."""
     entries = [endpoint_entry(peer, f"s-{number}") for number, peer in enumerate(backends)]
     return {
         "name": "n0",
@@ -144,14 +156,14 @@
 
 
 async def connect_beyond_bound(ingress: RunningIngress) -> Client:
-    """Take all eight places of an ingress with 64 sockets, a pending request each.
+    """Use all eight places of an ingress with 64 sockets, each by a pending request.
 
-    Return a client that has sent a request and stands in the listen queue.
+    Return a further client that has sent a request and is waiting in the listen queue.
     """
     for number in range(8):
         (await ingress.client()).write(request("vat-filing", number, Request_Timeout=LONG_TIMEOUT))
         await ingress.wait_for_requests(number + 1)
-    late = await ingress.client()
-    late.write(request("vat-filing", 50, Request_Timeout=LONG_TIMEOUT))
+    queued_client = await ingress.client()
+    queued_client.write(request("vat-filing", 50, Request_Timeout=LONG_TIMEOUT))
     await until(lambda: not ingress.server.listener.accepting)
-    return late
+    return queued_client
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,10 +1,10 @@
-"""The list of known failures, KNOWN-RED.txt: tests that fail for a fault that is not yet fixed.
+"""The list of known failures, KNOWN-RED.txt: tests that fail because of a fault not yet fixed.
 
-Each line names a test function, the command and seed that show the failure, what was seen, and the
-issue, with | between. What was seen quotes in backquotes what the report of the failure contains:
-a listed test is run, and a failure whose report has all the quotes doesn't fail the run. Any other
-failure of it does: a crash or a time-out is not the failure that is known. Where the test passes,
-it has to be taken off the list.
+Each line has four fields, separated by |: a test function, the command and seed that reproduce the
+failure, what was seen, and the issue. What was seen contains quotes of the failure's report, in
+backquotes. A listed test is run, and its failure does not fail the run if the report contains all
+the quotes. Any other failure of the test does: a crash or a time-out is not the known failure. A
+test that passes has to be removed from the list.
 """
 
 from __future__ import annotations
@@ -21,20 +21,30 @@
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """One line of the list."""
+    """One line of the list.
 
-    test: str  # a node id without parameters
-    command: str  # that shows the failure, with its seed
-    seen: str  # with quotes of the report in backquotes
+    Attributes:
+        test: the node id of the test, without parameters.
+        command: the command that reproduces the failure, with its seed.
+        seen: what was seen, with quotes of the report in backquotes.
+        issue: the issue of the fault.
+    """
+
+    test: str
+    command: str
+    seen: str
     issue: str
 
     def matches(self, report: str) -> bool:
-        """Return whether the report of a failure is that of the known one."""
+        """Return whether a failure's report contains all quotes of the known failure."""
         return all(quote in report for quote in _QUOTE.findall(self.seen))
 
 
 def parse(text: str) -> list[KnownFailure]:
-    """Return the entries; ValueError if a line is malformed, or there are too many."""
+    """Return the entries.
+
+    Raise ValueError if a line is malformed, or if there are more than MAX_ENTRIES.
+    """
     entries = []
     for line in text.splitlines():
         fields = [field.strip() for field in line.split("|")]
@@ -50,5 +60,5 @@
 
 
 def known_failures() -> list[KnownFailure]:
-    """Return the list; empty where there is no file."""
+    """Return the entries of KNOWN-RED.txt, or an empty list if there is no such file."""
     return parse(LIST_PATH.read_text()) if LIST_PATH.exists() else []
--- a/tests/support/paths.py
+++ b/tests/support/paths.py
@@ -1,4 +1,4 @@
-"""Where the tests find the project's files."""
+"""Paths of the project's files."""
 
 from __future__ import annotations
 
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -1,4 +1,4 @@
-"""Scripted servers on loopback: backends, discovery agents and counters."""
+"""Scripted servers on loopback, used as backends, discovery agents and counters."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, Self
 
-# What a peer does with one request that it has read.
+# How a peer responds to one request that it has read.
 Script = Callable[["Peer", bytes, asyncio.StreamWriter], Awaitable[None]]
 MessageReader = Callable[[asyncio.StreamReader], Awaitable[bytes]]
 
@@ -35,7 +35,7 @@
 
 
 def send_bytes(data: bytes, close: bool = True) -> Script:
-    """Return a script that writes just these bytes, and may close the connection then."""
+    """Return a script that writes these bytes as they are, and closes the connection if `close`."""
 
     async def script(peer: Peer, request: bytes, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
@@ -50,7 +50,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> bytes:
-    """Read one HTTP message that has no body or one with a Content-Length."""
+    """Read one HTTP message without a body, or with a body that has a Content-Length."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = re.search(rb"content-length: (\d+)", head, re.IGNORECASE)
     if length is None:
@@ -59,7 +59,16 @@
 
 
 class Peer:
-    """A server that runs its script on each request and records what it was sent."""
+    """A server that runs its script on each request and records the requests.
+
+    Attributes:
+        script: handles the requests; a test may replace it.
+        read: reads one request from a connection.
+        requests: the requests received, oldest first.
+        connections: how many connections have been accepted.
+        writers: the writers of all connections, oldest first.
+        connections_closed: how many connections the other side has closed or reset.
+    """
 
     def __init__(self, script: Script, read: MessageReader = read_message) -> None:
         self.script = script
@@ -77,7 +86,7 @@
         self.stop()
 
     async def start(self, port: int = 0) -> None:
-        """Listen on the port, or on one that the system chooses."""
+        """Listen on the port, or on one chosen by the system if it is 0."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.port: int = self.server.sockets[0].getsockname()[1]
 
@@ -95,7 +104,7 @@
 
     @property
     def address(self) -> str:
-        """Host and port, as configurations name them."""
+        """Host and port, in the form used in configuration files."""
         return f"127.0.0.1:{self.port}"
 
     def stop(self) -> None:
@@ -117,7 +126,7 @@
 
 
 def reserve_port(port: int = 0) -> socket.socket:
-    """Bind a port without listening: connections are refused until another socket listens on it."""
+    """Bind a port without listening; connections are refused until another socket listens on it."""
     reserved = socket.socket()
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     reserved.bind(("127.0.0.1", port))
@@ -125,17 +134,17 @@
 
 
 def write_immediately(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Hand a peer's bytes to the kernel at once; the loop would do it in its next turn."""
+    """Pass a peer's bytes to the kernel immediately, not in the loop's next iteration."""
     assert os.write(writer.transport.get_extra_info("socket").fileno(), data) == len(data)
 
 
 def shut_down_immediately(writer: asyncio.StreamWriter) -> None:
-    """End a peer's connection in both directions at once."""
+    """Shut down a peer's connection in both directions immediately."""
     with socket.socket(fileno=os.dup(writer.transport.get_extra_info("socket").fileno())) as sock:
         sock.shutdown(socket.SHUT_RDWR)
 
 
 def write_if_open(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Write unless the connection is closing: uvloop raises then, asyncio's own loop only warns."""
+    """Write unless the connection is closing, where uvloop would raise and asyncio only warn."""
     if not writer.is_closing():
         writer.write(data)
--- a/tests/support/test_peers.py
+++ b/tests/support/test_peers.py
@@ -1,4 +1,4 @@
-"""The message reader of the scripted peers."""
+"""Tests of the scripted peers' message reader."""
 
 from __future__ import annotations
 
