--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -38,6 +38,7 @@
 
 @pytest.fixture
 def reader() -> EndpointListReader:
+    """Return the reader of the only gateway."""
     return EndpointListReader((), ())
 
 
