--- a/sumacpost/policy/__init__.py
+++ b/sumacpost/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the ingress: pure, told the time, seeded, without I/O."""
+"""All decisions of the ingress, without I/O: the time and the random seed are arguments."""
--- a/sumacpost/policy/attempt_rules.py
+++ b/sumacpost/policy/attempt_rules.py
@@ -1,21 +1,23 @@
-"""The one place that decides whether an attempt of a request may be sent, repeated or written now.
+"""The only module that decides whether an attempt may be sent, repeated or written now.
 
-The retry policy asks before it chooses a backend, and the network code asks again right before the
-bytes are written: in between a connection may have had to come up, the backend may have begun to
-drain, and another attempt may have run.
+The retry policy checks before it chooses a backend, and the network code checks again immediately
+before it writes the request: in the meantime a connection may have had to be established, the
+backend may have started to drain, and another attempt may have run.
 """
 
 from sumacpost.model import DeduplicationScope, Endpoint, Idempotency, NotSentReason, Settings
 from sumacpost.policy.endpoint_table import zone_and_cell_groups
 from sumacpost.policy.pending_request import PendingRequest
 
-ARRIVAL_MARGIN_MS = 50.0  # an attempt arrives within this and the time that its connection may take
+# Longest time from writing an attempt to its arrival at the backend; connecting takes up to
+# Settings.connect_timeout_ms in addition.
+ARRIVAL_MARGIN_MS = 50.0
 
 
 def not_repeated_reason(
     now: float, request: PendingRequest, settings: Settings
 ) -> NotSentReason | None:
-    """Return why no further attempt of a request may be sent now; None: one may."""
+    """Return why no further attempt of a request may be sent now, or None if one may."""
     if not request.is_repeatable:
         if not request.has_idempotency_key:
             return NotSentReason.NOT_REPEATABLE
@@ -31,9 +33,9 @@
 def not_written_reason(
     now: float, request: PendingRequest, attempt: int, ready: bool, settings: Settings
 ) -> NotSentReason | None:
-    """Return why an attempt that has been sent may not be written now; None: it may.
+    """Return why an attempt whose backend is chosen may not be written now, or None if it may.
 
-    ready: whether its backend is still listed as ready, in the incarnation that was chosen.
+    ready: whether that backend is still listed as ready, in the incarnation that was chosen.
     """
     if now >= request.deadline:
         return NotSentReason.DEADLINE
@@ -53,7 +55,7 @@
 def _not_repeated_at_endpoint_reason(
     now: float, request: PendingRequest, endpoint: Endpoint
 ) -> NotSentReason | None:
-    """Return why a request that may have run may not be written to a backend now."""
+    """Return why a request that may have run may not be written to this backend, or None."""
     if not request.has_idempotency_key:
         return NotSentReason.NOT_REPEATABLE
     if now >= request.pinned_until - ARRIVAL_MARGIN_MS:
@@ -62,7 +64,7 @@
 
 
 def _in_scope(request: PendingRequest, endpoint: Endpoint) -> bool:
-    """Return whether a backend drops the repeats of what may have run before."""
+    """Return whether a backend recognizes the key of the attempt that may have run."""
     pinned_group = request.pinned_group
     is_global = pinned_group is None or pinned_group.scope is DeduplicationScope.ALL
     return is_global or pinned_group in zone_and_cell_groups(endpoint)
--- a/sumacpost/policy/connection_rules.py
+++ b/sumacpost/policy/connection_rules.py
@@ -1,7 +1,8 @@
-"""The one place that decides whether a client's connection may be closed, or ends with a response.
+"""The only module that decides whether a client connection may be closed, or ends with a response.
 
-A request that was read is owed its response, and one that stands unread in the socket would be cut
-off: its client has to send it again, on a connection that it may not get.
+Every request that has been read must get its response. A request still unread in the socket buffer
+would be lost by a close: its client would have to send it again, on a new connection that may be
+refused.
 """
 
 from dataclasses import dataclass
@@ -9,23 +10,23 @@
 
 
 class NotClosedReason(Enum):
-    """Why a connection may not be closed now; the values are for the log."""
+    """Why a connection may not be closed now; the values appear in the log."""
 
     RESPONSE_OWED = "response_owed"
-    REQUEST_READ = "request_read"  # buffered, and not handled yet
-    REQUEST_INCOMPLETE = "request_incomplete"  # it is owed an error before the close
-    REQUEST_UNREAD = "request_unread"  # bytes stand in the socket
+    REQUEST_READ = "request_read"  # read into the buffer, but not handled yet
+    REQUEST_INCOMPLETE = "request_incomplete"  # the client must get an error response first
+    REQUEST_UNREAD = "request_unread"  # the socket buffer is not empty
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSnapshot:
-    """What is known of a client's connection.
+    """The state of a client connection at one moment.
 
     Attributes:
-        responses_owed: requests without their response.
-        buffered_bytes: read from the socket, and not parsed yet.
-        has_partial_message: a request has begun and is not complete.
-        has_unread_input: bytes stand in the socket.
+        responses_owed: requests that have been read and not answered.
+        buffered_bytes: bytes read from the socket and not parsed yet.
+        has_partial_message: whether a request has been received in part only.
+        has_unread_input: whether the socket buffer contains unread bytes.
     """
 
     responses_owed: int
@@ -35,7 +36,7 @@
 
 
 def not_closed_reason(snapshot: ConnectionSnapshot) -> NotClosedReason | None:
-    """Return why a connection may not simply be closed now; None: it may."""
+    """Return why a connection may not be closed now, or None if it may."""
     if snapshot.responses_owed:
         return NotClosedReason.RESPONSE_OWED
     if snapshot.buffered_bytes:
@@ -48,8 +49,8 @@
 
 
 def is_last_response(keep_alive: bool, draining: bool, has_pending_requests: bool) -> bool:
-    """Return whether a connection ends with the response that is due on it.
+    """Return whether a connection ends after the response that is due next.
 
-    has_pending_requests: others that were read on it have no response yet.
+    has_pending_requests: whether other requests read on the connection still need a response.
     """
     return not keep_alive or (draining and not has_pending_requests)
--- a/sumacpost/policy/endpoint_table.py
+++ b/sumacpost/policy/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The backends of the endpoint list, this gateway's subset of them, and their deduplication."""
+"""The listed backends, this gateway's subset of them, and their deduplication groups."""
 
 from bisect import bisect_left, insort
 from itertools import islice
@@ -11,27 +11,32 @@
 
 
 class DeduplicationGroup(NamedTuple):
-    """The backends that drop each other's repeats: their scope, and the zone or cell (ALL: 0)."""
+    """Backends that recognize each other's idempotency keys.
+
+    Attributes:
+        scope: the extent of the group.
+        number: the number of the zone or cell; 0 for DeduplicationScope.ALL.
+    """
 
     scope: DeduplicationScope
     number: int
 
 
 class EndpointTable:
-    """The listed backends; those of another partition are there for repeated requests alone."""
+    """The listed backends; those outside the partition serve only retries by idempotency key."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self.backends: dict[int, Backend] = {}
         self.partition = Partition(settings.gateways, settings.index)
         self.subset = Subset(settings.gateways, settings.index)
-        # hash and number of the ready backends of each group, in order
+        # (hash, backend) of the ready backends of each group, sorted
         self.ready_by_group: dict[DeduplicationGroup, list[tuple[int, int]]] = {}
 
     def update(self, event: EndpointListUpdate) -> None:
-        """Follow the list: what it does not name as ready gets nothing new from now on."""
+        """Apply an update; backends that are not listed as ready get no new attempts afterwards."""
         if event.kind is UpdateKind.FAILED:
-            return  # the old list stands
+            return  # the previous list remains in use
         removed: list[int] = []
         if event.kind in (UpdateKind.FULL, UpdateKind.CACHED):
             listed = {endpoint.backend for endpoint in event.entries}
@@ -45,7 +50,7 @@
             self._update_endpoint(endpoint)
 
     def is_ready(self, backend: Backend) -> bool:
-        """Return whether a backend is listed as ready, in this incarnation."""
+        """Return whether this incarnation of a backend is listed as ready."""
         known = self.backends.get(backend.endpoint.backend)
         return known is backend and backend.endpoint.state is EndpointStatus.READY
 
@@ -75,7 +80,10 @@
             self._update_membership(endpoint, endpoint.state is EndpointStatus.READY)
 
     def _update_membership(self, endpoint: Endpoint, ready: bool) -> None:
-        """Add a ready backend to the subset and its groups, or remove one that is not ready."""
+        """Add a ready backend to the subset and its groups, or remove one that is not ready.
+
+        The subset takes only backends of this gateway's partition.
+        """
         backend_hash = splitmix64(endpoint.backend)
         in_partition = self.partition.contains_hash(backend_hash)
         self.subset.set_ready(endpoint.backend, ready and in_partition, backend_hash)
@@ -91,7 +99,12 @@
                 del self.ready_by_group[group]
 
     def eligible(self, pinned_group: DeduplicationGroup | None) -> list[int]:
-        """Return the subset, or its part in a group, with others of the group if that is small."""
+        """Return the backends that an attempt may be sent to.
+
+        For a request that is not pinned to a zone or cell these are the subset. Otherwise they are
+        the members of the subset in its group, filled up to MIN_SUBSET_SIZE with other backends of
+        the group.
+        """
         subset = self.subset.members()
         if pinned_group is None or pinned_group.scope is DeduplicationScope.ALL:
             return subset
@@ -107,13 +120,13 @@
 
 
 def zone_and_cell_groups(endpoint: Endpoint) -> tuple[DeduplicationGroup, DeduplicationGroup]:
-    """Return the groups of an endpoint, but for that of the whole fleet."""
+    """Return the groups of the endpoint's zone and cell."""
     zone = DeduplicationGroup(DeduplicationScope.ZONE, endpoint.zone)
     return zone, DeduplicationGroup(DeduplicationScope.CELL, endpoint.cell)
 
 
 def deduplication_group(endpoint: Endpoint, request_class: RequestClass) -> DeduplicationGroup:
-    """Return the group that drops the repeats of a request of this class once it ran here."""
+    """Return the group that recognizes the key of a request that was sent to this endpoint."""
     for group in zone_and_cell_groups(endpoint):
         if group.scope is request_class.deduplication_scope:
             return group
--- a/sumacpost/policy/gateway.py
+++ b/sumacpost/policy/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: one event in, actions out; the life of a request."""
+"""The gateway: turns each event into actions, from the arrival of a request to its conclusion."""
 
 from math import inf
 from random import Random
@@ -25,30 +25,31 @@
 from sumacpost.policy.quota_sync import Grant, QuotaSync
 from sumacpost.policy.retries import RetryPolicy
 
-BEYOND_QUOTA_THRESHOLD_FRACTION = (
-    0.5  # of the admission threshold: what requests beyond their quota may meet
+# Admission threshold of requests beyond the quota, as a fraction of that of other requests.
+BEYOND_QUOTA_THRESHOLD_FRACTION = 0.5
+METER_FULL_PERCENT = (
+    100  # use of the plan's rate, by the meter, from which a customer is over quota
 )
-METER_FULL_PERCENT = 100
 
 
 class Gateway:
-    """Decides for one gateway: hand it every event and carry out the actions it returns."""
+    """Makes all decisions of one gateway: pass it every event, and carry out its actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         random = Random(seed)
         self.settings = settings
-        self.pending: dict[int, PendingRequest] = {}  # by the request's number
+        self.pending: dict[int, PendingRequest] = {}  # by request number
         self.endpoints = EndpointTable(settings)
         self.estimate = FleetEstimate(settings)
         self.load_balancer = LoadBalancer(settings, random, self.endpoints, self.estimate)
         self.customers = CustomerTable(settings, random)
         self.quota_sync = QuotaSync(settings, random)
         self.retries = RetryPolicy(settings)
-        self._first_event_at = inf  # when the first event came
+        self._first_event_at = inf
         self._actions: Actions = []
 
     def handle(self, now: float, event: events.Event) -> Actions:
-        """Take in one event at a time in milliseconds; return actions, to be done in order."""
+        """Handle one event at the time `now`, in ms; return actions to be carried out in order."""
         self._actions = []
         self._first_event_at = min(self._first_event_at, now)
         self.load_balancer.slow_start.record_event(now)
@@ -72,9 +73,9 @@
         return self._actions
 
     def not_written_reason(self, now: float, number: int, attempt: int) -> NotSentReason | None:
-        """Return why an attempt of a request that was sent may not be written now, if anything.
+        """Return why an attempt that was started may not be written now, or None if it may.
 
-        Where nothing is in the way, it is taken to be written: it counts from now on.
+        If it may, the caller has to write it at once: slow start counts its work from now on.
         """
         request = self.pending.get(number)
         if request is None:
@@ -89,19 +90,19 @@
         return reason
 
     def _deadline_reached(self, now: float, event: events.DeadlineReached) -> None:
-        """Conclude a request that still waits, as one that is held for the counter does."""
+        """Conclude a request that is still pending, such as one held for the counter's reply."""
         request = self.pending.get(event.request)
         if request is not None:
             self._reject_or_fail(now, request, NotSentReason.DEADLINE)
 
     def _drain_started(self, now: float, event: events.DrainStarted) -> None:
-        """Bring the deadlines of pending requests forward; a later one would never be met."""
+        """Bring forward the deadlines of pending requests; the process ends before later ones."""
         latest = now + event.respond_within_ms
         for request in self.pending.values():
             request.deadline = min(request.deadline, latest)
 
     def _request_arrived(self, now: float, event: events.RequestArrived) -> None:
-        """Let the bucket decide; ask the counter what it cannot tell; reject the rest."""
+        """Admit a request by the bucket, or beyond the quota; else ask the counter or reject it."""
         settings = self.settings
         customer = self.customers.get_or_create(now, event, self._first_event_at)
         request_class = settings.classes[event.request_class]
@@ -129,13 +130,13 @@
         elif self.quota_sync.should_ask_counter(now, request):
             self._ask_counter(now, request)
         elif self.quota_sync.enabled or customer.tokens >= bucket_size:
-            # a full bucket does for a larger request, which would never pass otherwise
+            # A full bucket is enough for a larger request, which could never pass otherwise.
             self._admit(now, request, Grant.BUCKET)
         else:
             self._reject(now, request, NotSentReason.QUOTA)
 
     def _ask_counter(self, now: float, request: PendingRequest) -> None:
-        """Hold a request until the counter replies; no call for one that would be rejected."""
+        """Hold a request until the counter replies, unless overload would reject it anyway."""
         threshold = self.load_balancer.admission_threshold(request.event.request_class)
         if self.load_balancer.choose(now, request, threshold) is None:
             self._reject(now, request, NotSentReason.OVERLOAD)
@@ -144,7 +145,7 @@
         self._actions += self.quota_sync.report_usage(now, request.customer, request)
 
     def _counter_replied(self, now: float, event: events.CounterReplied) -> None:
-        """Send or reject the request held for a reply, then report what is left to report."""
+        """Send or reject the request held for a reply, then report remaining use to the counter."""
         call = self.quota_sync.apply_reply(now, event, self.pending)
         if call is None:
             return
@@ -155,10 +156,10 @@
         self._actions += self.quota_sync.report_after_reply(now, call)
 
     def _admit(self, now: float, request: PendingRequest, grant: Grant) -> None:
-        """Send what the quota lets pass, unless the fleet is overloaded."""
+        """Send a request that the quota permits, unless the fleet is overloaded."""
         customer = request.customer
         units = request.event.units
-        threshold = inf  # a request that was held for the counter has met its threshold before
+        threshold = inf  # requests held for the counter have passed their threshold before
         if grant in (Grant.BUCKET, Grant.BEYOND_QUOTA):
             threshold = self.load_balancer.admission_threshold(request.event.request_class)
             if grant is Grant.BEYOND_QUOTA:
@@ -178,7 +179,7 @@
         self._send(now, request, backend, SendReason.FIRST)
 
     def _reject(self, now: float, request: PendingRequest, reason: NotSentReason) -> None:
-        """Conclude a request with the time after which its client may come back."""
+        """Reject a request, with the time after which its client may retry."""
         no_show_ms = NO_SHOW_MS * self.settings.clients_mark_retries
         wait_ms = request.customer.schedule_return(now, request.event.units, no_show_ms)
         retry_after_ms = wait_ms * self.settings.retry_after
@@ -191,7 +192,7 @@
     def _send(
         self, now: float, request: PendingRequest, backend: Backend, reason: SendReason
     ) -> None:
-        """Start an attempt and remember what it may do."""
+        """Start an attempt, record it and set its timer for hedging."""
         number = request.event.request
         outstanding_requests = self.load_balancer.outstanding_requests(now, backend)
         overdue_after_ms = self.estimate.overdue_after_ms(
@@ -216,10 +217,10 @@
         self._actions += self.retries.hedge_timer(now, request, overdue_after_ms)
 
     def _timer_fired(self, now: float, event: events.TimerFired) -> None:
-        """Send a hedged request elsewhere while an overdue attempt may still be answered.
+        """Send a hedged request to another backend while an overdue attempt is in flight.
 
-        Where the whole fleet is slow, that would add to the load: attempts are overdue later then,
-        and hedging is rationed and meets the admission threshold like a first attempt.
+        Hedging must not add to the load when the whole fleet is slow: attempts are overdue later
+        then, and hedged requests are limited by the retry budget and the admission threshold.
         """
         number, attempt_number = divmod(event.label, self.settings.max_attempts)
         request = self.pending.get(number)
@@ -236,12 +237,12 @@
             self._actions += self.retries.hedge_timer(now, request, overdue_after_ms)
 
     def _attempt_ended(self, now: float, event: events.AttemptEnded) -> None:
-        """Learn from the outcome, then conclude the request or retry it as its class allows."""
+        """Update the estimates, then conclude the request or retry it as its class permits."""
         self._observe_attempt(now, event)
         request = self.pending.get(event.request)
         if request is None:
             return
-        if event.quota_used_percent is not None:  # a meter takes the counter's place
+        if event.quota_used_percent is not None:  # a meter replaces the counter
             request.customer.adjust_share(now, event.quota_used_percent >= METER_FULL_PERCENT)
         if event.outcome is events.Outcome.OK:
             charged_units = request.event.units
@@ -254,7 +255,7 @@
             return
         if not event.outcome.never_ran:
             request.record_possible_execution(event.attempt, now - event.elapsed_ms)
-        # else the hedged attempt sent last goes on
+        # If a later hedged attempt is in flight, the request waits for that one.
         if not request.in_flight or event.attempt == request.last_attempt:
             self._retry_or_conclude(now, request)
 
@@ -269,7 +270,7 @@
     def _retry_or_conclude(
         self, now: float, request: PendingRequest, threshold: float = inf
     ) -> None:
-        """Send another attempt if one is permitted; else conclude once none is in flight."""
+        """Send another attempt if one is permitted; otherwise conclude if none is in flight."""
         reason = self.retries.not_retried_reason(now, request)
         if reason is None:
             backend = self.load_balancer.choose(now, request, threshold)
@@ -280,11 +281,11 @@
                 return
             reason = NotSentReason.NO_BACKEND
         if request.in_flight:
-            return  # it may still be answered
+            return  # one of these attempts may still succeed
         self._reject_or_fail(now, request, reason)
 
     def _reject_or_fail(self, now: float, request: PendingRequest, reason: NotSentReason) -> None:
-        """Conclude a request that is not served; its client may come back where that is safe."""
+        """Conclude a request that is not served: reject it if a retry is safe, else fail it."""
         if self.retries.permits_rejection(request):
             self._reject(now, request, reason)
         else:
--- a/sumacpost/policy/latency.py
+++ b/sumacpost/policy/latency.py
@@ -1,15 +1,22 @@
-"""The estimator of latency inflation: time taken over time expected."""
+"""The estimator of latency inflation: the ratio of actual to expected latency."""
 
 from math import inf
 
-FAILURE_WEIGHT = 0.3  # weight of a failure, and the most that a rare observation may have
-MIN_DECAY_MS = 3000.0  # an observation fades to a third in this time
-DECAY_TIME_GAPS = 2.0  # or in so many times the gap between observations, where that is longer
-MAX_GAP_MS = 60_000.0  # after a longer gap the decay time starts anew
+FAILURE_WEIGHT = (
+    0.3  # weight of a failure, and upper bound on the added weight of a rare observation
+)
+MIN_DECAY_MS = 3000.0  # shortest time in which an observation decays to a third
+# The decay time is this multiple of the gap between observations if that is longer than
+# MIN_DECAY_MS.
+DECAY_TIME_GAPS = 2.0
+MAX_GAP_MS = 60_000.0  # a gap this long or longer resets the decay time to MIN_DECAY_MS
 
 
 class LatencyInflation:
-    """Time taken over time expected: the one measure of health, of a backend or of the fleet."""
+    """A decaying estimate of actual over expected latency, of a backend or of the fleet.
+
+    It is the only measure of health.
+    """
 
     __slots__ = ("decay_ms", "observed_at", "value")
 
@@ -19,11 +26,15 @@
         self.decay_ms = MIN_DECAY_MS
 
     def current(self, now: float, baseline: float = 1.0) -> float:
-        """Return the estimate: it decays toward the usual one, slowly if observations are rare."""
+        """Return the estimate, which decays to the baseline, slowly if observations are rare."""
         return baseline + (self.value - baseline) * 3 ** ((self.observed_at - now) / self.decay_ms)
 
     def observe(self, now: float, value: float, weight: float, baseline: float = 1.0) -> None:
-        """Move the estimate toward a value; a rare one weighs as much as the many it stands for."""
+        """Move the estimate toward a value.
+
+        A rare observation gets more weight, as it represents the many that are missing, but no
+        more than FAILURE_WEIGHT unless `weight` is larger.
+        """
         decayed_fraction = 1 - 3 ** ((self.observed_at - now) / self.decay_ms)
         weight = max(weight, min(FAILURE_WEIGHT, decayed_fraction))
         estimate = self.current(now, baseline)
--- a/sumacpost/policy/load_balancing.py
+++ b/sumacpost/policy/load_balancing.py
@@ -1,4 +1,4 @@
-"""The choice of a backend: forecast, near ties, and admission by the forecast."""
+"""The choice of a backend by expected latency, and admission control by the expected wait."""
 
 from math import inf
 from random import Random
@@ -11,17 +11,21 @@
 from sumacpost.policy.slow_start import SlowStart
 from sumacpost.policy.subsetting import MAX_CANDIDATES
 
-TIE_FACTOR = 1.15  # backends within it of the best are as good: chosen at random, against herds
-ADMISSION_FRACTION = 0.33  # of the objective: the wait that work of the highest priority may meet
-MIN_ADMISSION_FRACTION = 0.25  # and work of no priority
-SHEDDING_EXPONENT = 16.0  # how sharply sends thin out past the threshold
-PROBE_AFTER_SILENCE_MS = (
-    100.0  # with no response from the fleet for so long, an unused backend gets a request
-)
+# Backends within this factor of the lowest expected latency are chosen among at random, so that
+# gateways don't all send to the same one.
+TIE_FACTOR = 1.15
+# Admission threshold of the highest priority, as a fraction of the latency objective.
+ADMISSION_FRACTION = 0.33
+MIN_ADMISSION_FRACTION = 0.25  # the same for a priority of zero
+# The admission probability falls with this power of the wait relative to the threshold.
+SHEDDING_EXPONENT = 16.0
+# After a longer time without a response from the fleet, an idle backend gets a request even if the
+# fleet counts as overloaded.
+PROBE_AFTER_SILENCE_MS = 100.0
 
 
 class LoadBalancer:
-    """Chooses the backend of an attempt, or none where the fleet is overloaded."""
+    """Chooses the backend of an attempt, or none if the fleet is overloaded."""
 
     def __init__(
         self, settings: Settings, random: Random, endpoints: EndpointTable, estimate: FleetEstimate
@@ -33,9 +37,10 @@
         self._estimate = estimate
 
     def admission_threshold(self, class_number: int) -> float:
-        """Return the wait in milliseconds that requests of this class may meet.
+        """Return the expected wait, in ms, up to which requests of this class are admitted.
 
-        Work of low priority with a long objective must not fill an overloaded fleet.
+        The latency objective that counts is the shortest of all classes with the same or a higher
+        priority: work of low priority with a long objective must not fill an overloaded fleet.
         """
         classes = self._settings.classes
         unit_ms = self._estimate.unit_ms
@@ -49,7 +54,10 @@
         return objective_ms * (MIN_ADMISSION_FRACTION + span * priority / max(priorities))
 
     def outstanding_requests(self, now: float, backend: Backend) -> float:
-        """Return the requests that stand at a backend from here and one, by its size and warmth."""
+        """Return 1 plus this gateway's outstanding work at a backend, in requests of mean work.
+
+        The work is relative to the backend's size and present capacity fraction.
+        """
         size = backend.endpoint.size or 1
         capacity = (
             self._estimate.mean_work_ms * size * backend.capacity_fraction(now, self._settings)
@@ -57,7 +65,7 @@
         return 1 + backend.outstanding_work_ms / capacity
 
     def candidates(self, request: PendingRequest) -> list[Backend]:
-        """Return the backends to compare, a sample where there are many."""
+        """Return the backends to compare: all eligible ones, or a random sample of those."""
         eligible = self._endpoints.eligible(request.pinned_group)
         if len(eligible) > MAX_CANDIDATES:
             eligible = self._random.sample(eligible, MAX_CANDIDATES)
@@ -66,9 +74,11 @@
     def expected_latency_ms(
         self, now: float, backend: Backend, request: PendingRequest, fleet_inflation: float
     ) -> float:
-        """Return the expected time of an attempt at this backend; silence bounds it from below.
+        """Return the expected latency of an attempt at this backend, in ms.
 
-        While others are answered there is no silence: one connection may be dead.
+        It is at least the time for which the backend has been silent: since its last response, or
+        since its oldest attempt in flight should have ended if that is later. Responses to other
+        attempts end the silence, as one overdue attempt may be due to a single dead connection.
         """
         class_inflation = backend.inflation_by_class[request.event.request_class]
         inflation = class_inflation.current(now, fleet_inflation)
@@ -80,7 +90,10 @@
         return max(expected_ms, now - silent_since)
 
     def choose(self, now: float, request: PendingRequest, threshold: float = inf) -> Backend | None:
-        """Return the backend of the shortest forecast, at random among near ties; None: reject."""
+        """Return the backend of the lowest expected latency, at random among near ties.
+
+        Return None if no backend is allowed or admission control rejects the request.
+        """
         admits = self.slow_start.admits
         allowed = [b for b in self.candidates(request) if admits(now, b, request.work_ms)]
         if len(allowed) > 1:
@@ -106,12 +119,12 @@
         threshold: float,
         fleet_inflation: float,
     ) -> bool:
-        """Draw whether a request is sent, by how far the wait is past what it may meet."""
+        """Draw whether a request is sent, by the ratio of its expected wait to the threshold."""
         class_inflation = best.inflation_by_class[request.event.request_class].current(
             now, fleet_inflation
         )
-        # the lower one: one bad backend is no sign of an overloaded fleet
         mean_work_ms = self._estimate.mean_work_ms
+        # The lower inflation counts: one bad backend doesn't mean that the fleet is overloaded.
         wait_ms = (
             min(fleet_inflation, class_inflation)
             * mean_work_ms
@@ -124,6 +137,8 @@
         silence_ms = now - self._estimate.inflation.observed_at
         unused = not best.in_flight and request.work_ms < left_ms
         if excess > 1 and unused and silence_ms > PROBE_AFTER_SILENCE_MS:
-            return True  # with all rejected, nobody would learn that the overload is over
+            return (
+                True  # with all requests rejected, no response would show the end of the overload
+            )
         admission_probability: float = excess**-SHEDDING_EXPONENT
         return self._random.random() <= admission_probability
--- a/sumacpost/policy/pending_request.py
+++ b/sumacpost/policy/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that has no final answer yet: what has been tried, and what may have run."""
+"""A request without its final response: its attempts, and whether one of them may have run."""
 
 from dataclasses import InitVar, dataclass, field
 from math import inf
@@ -11,20 +11,35 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that has no final answer yet; attempts are numbered from 0."""
+    """A request without its final response. Attempts are numbered from 0; times are in ms.
+
+    Attributes:
+        event: the arrival of the request.
+        request_class: the class of the request.
+        customer: the quota that the request draws on.
+        work_ms: the expected time of the request on an idle backend.
+        now: the time of arrival.
+        deadline: when the final response is due.
+        objective_deadline: when the latency objective or, if earlier, the client's time ends.
+        attempted_backends: the backend of each attempt, by attempt number.
+        in_flight: the attempts that have not ended, by attempt number.
+        possibly_executed: whether an attempt may have run.
+        pinned_group: the deduplication group that retries by idempotency key are sent to.
+        pinned_until: the end of the deduplication window.
+    """
 
     event: RequestArrived
     request_class: RequestClass
     customer: CustomerQuota
-    work_ms: float  # milliseconds that it is expected to take on an idle backend
+    work_ms: float
     now: InitVar[float]
     deadline: float = field(init=False)
-    objective_deadline: float = field(init=False)  # when its latency objective ends
-    attempted_backends: list[Backend] = field(default_factory=list)  # by the attempt's number
-    in_flight: dict[int, InFlightAttempt] = field(default_factory=dict)  # by the same
+    objective_deadline: float = field(init=False)
+    attempted_backends: list[Backend] = field(default_factory=list)
+    in_flight: dict[int, InFlightAttempt] = field(default_factory=dict)
     possibly_executed: bool = False
-    pinned_group: DeduplicationGroup | None = None  # what its retries must keep to
-    pinned_until: float = inf  # the end of its deduplication window
+    pinned_group: DeduplicationGroup | None = None
+    pinned_until: float = inf
 
     def __post_init__(self, now: float) -> None:
         time_left_ms = self.event.time_left_ms
@@ -33,22 +48,26 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether another attempt, of the gateway or the client, can do no harm anywhere."""
+        """Whether another attempt, by the gateway or the client, is safe at every backend."""
         idempotent = self.request_class.idempotency is Idempotency.IDEMPOTENT
         return idempotent or not self.possibly_executed
 
     @property
     def has_idempotency_key(self) -> bool:
-        """Whether backends of one deduplication group drop its repeats."""
+        """Whether the backends of a deduplication group recognize its key and drop repeats."""
         return self.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
 
     @property
     def last_attempt(self) -> int:
-        """The number of the attempt sent last, -1 before the first."""
+        """The number of the latest attempt; -1 before the first."""
         return len(self.attempted_backends) - 1
 
     def record_possible_execution(self, attempt: int, sent_at: float) -> None:
-        """Note that an attempt may have run; a key pins its retries to the group that knows it."""
+        """Record that an attempt may have run.
+
+        With an idempotency key, the first such attempt pins the retries to the deduplication group
+        of its backend, until the deduplication window ends.
+        """
         self.possibly_executed = True
         if self.has_idempotency_key and self.pinned_group is None:
             endpoint = self.attempted_backends[attempt].endpoint
--- a/sumacpost/policy/quota.py
+++ b/sumacpost/policy/quota.py
@@ -1,4 +1,4 @@
-"""A customer's token bucket and its share of the plan's quota, and the table of customers."""
+"""A customer's token bucket, its share of the plan's quota, and the table of customers."""
 
 from dataclasses import InitVar, dataclass, field
 from math import inf
@@ -8,43 +8,62 @@
 from sumacpost.policy.return_queue import ReturnQueue
 
 SHARE_GROWTH = 1.5  # factor by which an exhausted share grows
-SHARE_DECREASE = 0.5  # part of its growth that the share of an over-used quota loses
-SHARE_INTERVAL_MS = 1000.0  # between two changes of a share
-AMPLE_BALANCE_FRACTION = 0.9  # of the burst: a shared balance above it has capacity for all
-LOW_BALANCE_FRACTION = 0.25  # of the burst: a shared balance below it is over-used
-ASSUMED_REFILL_FRACTION = (
-    0.15  # of the rate: how fast a balance is believed to refill between calls
+SHARE_DECREASE = 0.5  # fraction of its growth that the share of an over-used quota loses
+SHARE_INTERVAL_MS = 1000.0  # shortest time between two changes of a share
+# Fraction of the burst above which the shared balance is enough for all gateways.
+AMPLE_BALANCE_FRACTION = 0.9
+LOW_BALANCE_FRACTION = 0.25  # fraction of the burst below which the shared balance is over-used
+# Refill assumed for the balance between counter calls, as a fraction of the plan's rate; it is
+# multiplied by the counter call rate.
+ASSUMED_REFILL_FRACTION = 0.15
+RETRY_RESERVE_FRACTION = 0.1  # fraction of the share's burst reserved for marked retries
+NO_SHOW_MS = 2000.0  # a marked retry this late is not expected any more and leaves the return queue
+REPORT_BATCH_FRACTION = (
+    0.08  # use is reported to the counter in batches of this fraction of the burst
 )
-RETRY_RESERVE_FRACTION = 0.1  # of the share's burst: what only marked retries may take
-NO_SHOW_MS = 2000.0  # a marked retry this late has given up and frees its place in the queue
-REPORT_BATCH_FRACTION = 0.08  # of the burst: use is reported to the counter in such batches
-EXPIRY_MS = 20_000.0  # an unseen customer expires after this, or once its buckets can be full
-EXPIRIES_PER_REQUEST = 2  # more than can have come since
-MAX_FRESH_TOTAL = 0.01  # a counter's total below it is that of a fresh or lost name
+# Customers without requests expire after this, or once their buckets are full if that takes longer.
+EXPIRY_MS = 20_000.0
+EXPIRIES_PER_REQUEST = 2  # more than the one customer that a request can add
+MAX_FRESH_TOTAL = 0.01  # a smaller total in the counter means that its name is new or was lost
 
 
 @dataclass(slots=True, eq=False)
 class CustomerQuota:
-    """One customer's share of its quota here, and the virtual queue of its rejected clients.
-
-    gateway_started_at: the start of this gateway, which cannot know what it spent of the ceiling
-        before.
+    """One customer's quota at this gateway, and the return queue of its rejected clients.
+
+    Attributes:
+        plan: the customer's plan.
+        gateway_spread: the number of gateways that get the customer's requests.
+        refilled_at: the time up to which bucket and ceiling are refilled.
+        number: the number of the customer.
+        unreported_units: units used and not reported to the counter; negative: reported, not used.
+        gateway_started_at: the start of this gateway. Units that it used of the ceiling before are
+            unknown, so the ceiling of a new customer fills from then on.
+        initial_share: an even share of the quota.
+        quota_share: the fraction of the plan's quota that this gateway may use.
+        tokens: units in the bucket.
+        ceiling_tokens: units left of this gateway's part of the ceiling.
+        shared_balance: units left of the whole quota, by the counter's last reply.
+        balance_observed_at: the time of that reply.
+        adjusted_at: the time at which the share was last adjusted.
+        exhausted: whether bucket or ceiling lacked units since then.
+        return_queue: the return queue of the customer's rejected clients.
     """
 
     plan: Plan
     gateway_spread: InitVar[int]
-    refilled_at: float  # up to when bucket and ceiling are filled
+    refilled_at: float
     number: int = 0
-    unreported_units: float = 0.0  # negative: reported, but not used
+    unreported_units: float = 0.0
     gateway_started_at: InitVar[float] = inf
     initial_share: float = field(init=False)
     quota_share: float = field(init=False)
     tokens: float = field(init=False)
     ceiling_tokens: float = field(init=False)
-    shared_balance: float = field(init=False)  # as the counter's last reply showed it
+    shared_balance: float = field(init=False)
     balance_observed_at: float = -inf
     adjusted_at: float = field(init=False)
-    exhausted: bool = False  # since the share was last adjusted
+    exhausted: bool = False
     return_queue: ReturnQueue = field(init=False)
 
     def __post_init__(self, gateway_spread: int, gateway_started_at: float) -> None:
@@ -60,7 +79,7 @@
         self.return_queue = ReturnQueue(self.refilled_at)
 
     def refill(self, now: float) -> None:
-        """Fill the bucket and the ceiling for the time gone by."""
+        """Refill the bucket and the ceiling for the time since the last refill."""
         elapsed_s = (now - self.refilled_at) / 1000
         self.refilled_at = now
         plan = self.plan
@@ -71,28 +90,32 @@
         self.ceiling_tokens = min(plan.ceiling_burst * share, ceiling_tokens)
 
     def ceiling_permits(self, units: float) -> bool:
-        """Return whether the plan's ceiling, which nothing may pass, leaves so many units."""
+        """Return whether the plan's ceiling, which no request may exceed, permits these units."""
         return not self.plan.ceiling_rate or self.ceiling_tokens >= units
 
     def has_tokens(self, units: float, keep_reserve: bool) -> bool:
-        """Return whether the bucket covers so many units, beside the reserve for marked retries."""
+        """Return whether the bucket covers these units; keep_reserve: without the retry reserve."""
         plan = self.plan
         reserve = RETRY_RESERVE_FRACTION * plan.burst * self.quota_share if keep_reserve else 0.0
         return not plan.rate or self.tokens - reserve >= units
 
     def schedule_return(self, now: float, units: float, no_show_ms: float) -> float:
-        """Return for how many milliseconds a rejected client is to stay away."""
+        """Queue the return of a rejected client; return the time in ms until then."""
         fill_rate = self.plan.rate * self.quota_share
         return self.return_queue.schedule(now, units, fill_rate, no_show_ms)
 
     def settle_units(self, units: float, charged_units: float) -> None:
-        """Settle what an answered request has used in place of what it was charged."""
+        """Replace the units charged for an answered request by the units that it used."""
         self.return_queue.record_units(units)
         self.tokens -= units - charged_units
         self.unreported_units += units - charged_units
 
     def adjust_share(self, now: float, over_quota: bool) -> None:
-        """Let an exhausted share grow, and that of a customer over its quota fall, each second."""
+        """Adjust the share, at most once in SHARE_INTERVAL_MS.
+
+        The share of a customer over its quota falls towards the even share; an exhausted one grows
+        while the shared balance is ample.
+        """
         if now - self.adjusted_at < SHARE_INTERVAL_MS:
             return
         if over_quota:
@@ -104,7 +127,7 @@
         self.exhausted = False
 
     def admission_probability(self, now: float, counter_call_rate: float) -> float:
-        """Return the chance that units beyond the bucket are still in the shared balance."""
+        """Return the probability that the shared balance covers units beyond the bucket."""
         refill_s = (
             ASSUMED_REFILL_FRACTION * counter_call_rate * (now - self.balance_observed_at) / 1000
         )
@@ -114,14 +137,20 @@
     def apply_counter_total(
         self, now: float, previous_total: float, reported_units: float, age_ms: float
     ) -> float:
-        """Set the shared balance by a reply; return what ran over, which the name's total lacks.
+        """Update the shared balance from a counter reply.
+
+        previous_total: the total of the counter's name before this call.
+        reported_units: the units of use that the call added.
+        age_ms: how long the name has been in use.
 
-        before: the name's total without this call. use: units that it added. age_ms: of the name.
+        Return the units by which the name's total is too low, as its balance exceeds the limit.
         """
         plan = self.plan
         balance = plan.burst - previous_total + age_ms / 1000 * plan.rate
         max_balance = plan.burst
-        if previous_total < MAX_FRESH_TOTAL:  # a fresh or lost name: what was missing still is
+        if (
+            previous_total < MAX_FRESH_TOTAL
+        ):  # a new or lost name: the balance is that of the old one
             elapsed_s = (now - self.balance_observed_at) / 1000
             max_balance = min(max_balance, self.shared_balance + elapsed_s * plan.rate)
         self.shared_balance = min(max_balance, balance) - reported_units
@@ -135,10 +164,10 @@
 
 
 class CustomerTable:
-    """The customers seen lately; one long unseen is dropped, as a fresh one does as well."""
+    """The customers with recent requests. Others are dropped: a new entry is equivalent."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
-        self.by_number: dict[int, CustomerQuota] = {}  # the longest unseen stand first
+        self.by_number: dict[int, CustomerQuota] = {}  # by time of the last request
         self._settings = settings
         self._random = random
         self._expiry_ms = max([EXPIRY_MS, *map(_fill_time_ms, settings.plans)])
@@ -146,12 +175,12 @@
     def get_or_create(
         self, now: float, event: RequestArrived, gateway_started_at: float
     ) -> CustomerQuota:
-        """Return the customer of a request, its buckets filled, and drop expired ones."""
+        """Return the customer of a request, with refilled buckets, and drop expired customers."""
         customer = self.by_number.pop(event.customer, None)
         if customer is None:
             plan = self._settings.plans[event.plan]
             spread = max(1, min(event.gateway_spread, self._settings.gateways))
-            # begun at random, so that reports in whole batches are right on average
+            # A random initial value makes reports in whole batches correct on average.
             unreported = -self._random.random() * REPORT_BATCH_FRACTION * plan.burst
             customer = CustomerQuota(
                 plan, spread, now, event.customer, unreported, gateway_started_at
@@ -166,6 +195,6 @@
 
 
 def _fill_time_ms(plan: Plan) -> float:
-    """Return the longest time that a bucket of this plan takes to fill."""
+    """Return the time in which both buckets of a plan fill up, in ms."""
     buckets = ((plan.burst, plan.rate), (plan.ceiling_burst, plan.ceiling_rate))
     return max((1000 * burst / rate for burst, rate in buckets if rate), default=0.0)
--- a/sumacpost/policy/quota_sync.py
+++ b/sumacpost/policy/quota_sync.py
@@ -1,4 +1,4 @@
-"""What is added to the shared counter, learnt from it, and how often it is called."""
+"""Sharing of quotas through the counter: reports of use, replies, and the rate of calls."""
 
 from collections import deque
 from collections.abc import Container
@@ -12,70 +12,83 @@
 from sumacpost.policy.pending_request import PendingRequest
 from sumacpost.policy.quota import REPORT_BATCH_FRACTION, CustomerQuota
 
-NAME_TTL_MS = 60_000.0  # the longest life of a counter's name
-MAX_DRIFT_FRACTION = 0.5  # of the burst: a name this far off is corrected by a call of its own
-FULL_CALL_RATE = 0.4  # a lower call rate leaves calls out by chance
+NAME_TTL_MS = 60_000.0  # period of use and time to live of a name in the counter
+# A total that is wrong by more than this fraction of the burst is corrected by a separate call.
+MAX_DRIFT_FRACTION = 0.5
+FULL_CALL_RATE = 0.4  # below this call rate, calls are left out at random
 INITIAL_CALL_RATE = 0.5
 MIN_CALL_RATE = 0.01
-CALL_RATE_DECREASE = 0.7  # factor for a reply that is late or missing
+CALL_RATE_DECREASE = 0.7  # factor applied for a late or missing reply
 CALL_RATE_INCREASE = 0.04  # added for a prompt reply
-MIN_RETURN_CALL_RATE = 0.9  # below it nothing is returned to an empty balance
-LATE_REPLY_FRACTION = 0.8  # of the counter's time-out: a reply this slow is a sign of congestion
-HASH_FACTOR = 2654435761  # Knuth's, for the moments at which customers change their names
+MIN_RETURN_CALL_RATE = 0.9  # below this call rate, no units are returned to an empty balance
+LATE_REPLY_FRACTION = 0.8  # a reply slower than this fraction of the time-out shows congestion
+HASH_FACTOR = 2654435761  # Knuth's multiplicative hash; spreads the times of name changes
 
 
 class Grant(Enum):
-    """What lets a request pass the quota, and so where its units are still to be counted."""
+    """Why a request passes the quota, which decides where its units are still to be counted."""
 
-    BUCKET = auto()  # the customer's bucket here
-    BEYOND_QUOTA = auto()  # the plan, which pays for more than the quota
-    COUNTER = auto()  # the shared counter, to which its units are added already
-    COUNTER_NOT_APPLIED = auto()  # the last known balance: the counter has not applied its call
+    BUCKET = auto()  # by the customer's bucket at this gateway
+    BEYOND_QUOTA = auto()  # by the plan, which permits requests beyond the quota
+    COUNTER = auto()  # by the shared counter, which has added its units, or may have
+    COUNTER_NOT_APPLIED = auto()  # by the last known balance, as the call was not applied
 
 
 @dataclass(slots=True)
 class CounterCall:
-    """A call to the counter, and what its reply means once that is there."""
+    """A call to the counter, and the result of its reply.
+
+    Attributes:
+        customer: the customer whose quota is reported.
+        reported_units: units of use in the call, with those of the request held for the reply.
+        correction: units added to correct the name's total.
+        request: the request held for the reply, if any.
+        grant: after the reply, why the request passes the quota; None: it is rejected.
+        surplus: after the reply, the units that the name's total lacks; None: unknown.
+    """
 
     customer: CustomerQuota
-    reported_units: float  # units reported, those of the request held for it among them
-    correction: float  # units added to put the name's total right
-    request: PendingRequest | None  # held for the reply
-    grant: Grant | None = None  # what lets the request pass; None: it is to be rejected
-    surplus: float | None = None  # units by which the name's total is wrong, if that is known
+    reported_units: float
+    correction: float
+    request: PendingRequest | None
+    grant: Grant | None = None
+    surplus: float | None = None
 
 
 class CounterName(NamedTuple):
-    """The name of a customer's number in the counter, and how long it has been in use."""
+    """The name of a customer's total in the counter, and how long it has been in use."""
 
     number: int
     age_ms: float
 
 
 class QuotaSync:
-    """Shares quotas through the counter; where that is lost, the last known balance decides."""
+    """Shares quotas through the counter; without it the last known balance decides."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self.enabled = settings.counter and not settings.meter_ms
         self.counter_call_rate = INITIAL_CALL_RATE
-        self.pending_calls: dict[int, deque[CounterCall]] = {}  # by name, in the order of the calls
+        self.pending_calls: dict[int, deque[CounterCall]] = {}  # by name, oldest first
         self._settings = settings
         self._random = random
-        self._congested_at = -inf  # the last sign of a congested counter
+        self._congested_at = -inf  # time of the last sign of congestion
 
     def current_name(self, now: float, customer: CustomerQuota) -> CounterName:
-        """Return a customer's present name; customers change theirs at different moments."""
+        """Return a customer's current name in the counter.
+
+        Names change once in NAME_TTL_MS, at different times for different customers.
+        """
         offset_ms = customer.number * HASH_FACTOR % 2**32 / 2**32 * NAME_TTL_MS
         period, age_ms = divmod(now + offset_ms, NAME_TTL_MS)
         return CounterName(int(period) << 33 | customer.number, age_ms)
 
     def draw_admission(self, now: float, customer: CustomerQuota) -> bool:
-        """Draw whether units beyond the bucket are taken to be in the shared balance."""
+        """Draw whether the shared balance is assumed to cover units beyond the bucket."""
         probability = customer.admission_probability(now, self.counter_call_rate)
         return self._random.random() < probability
 
     def should_ask_counter(self, now: float, request: PendingRequest) -> bool:
-        """Return whether a request is to be held while the counter is asked for its units."""
+        """Return whether a request should be held while the counter is asked for its units."""
         if not self.enabled or not self._draw_call():
             return False
         settings = self._settings
@@ -86,14 +99,17 @@
     def report_usage(
         self, now: float, customer: CustomerQuota, request: PendingRequest | None = None
     ) -> Actions:
-        """Report use, that of a held request included, or return what was not used, in batches."""
+        """Report use to the counter, or return unused units, in whole batches.
+
+        request: a request held for the reply, whose units are included in the report.
+        """
         report_batch = REPORT_BATCH_FRACTION * customer.plan.burst
         if not self.enabled or not report_batch:
             return []
         units = ceil(customer.unreported_units / report_batch) * report_batch
         congested = self.counter_call_rate < MIN_RETURN_CALL_RATE
         if units < 0 and customer.shared_balance <= 0 and congested:
-            return []  # kept for the next use: returns for rejected requests would congest it
+            return []  # kept for later use: returns for rejected requests would cause congestion
         if not units or (request is None and not self._draw_call()):
             return []
         customer.unreported_units -= units
@@ -102,9 +118,10 @@
     def apply_reply(
         self, now: float, event: CounterReplied, pending: Container[int]
     ) -> CounterCall | None:
-        """Learn from a reply and return its call, if any; pending: the requests that still wait.
+        """Update quota and call rate from a reply; return its call, or None if it is unknown.
 
-        report_after_reply is to follow once the request held for it is sent or rejected.
+        pending: the numbers of requests without a final response. The caller sends or rejects the
+        request held for the reply, then calls report_after_reply.
         """
         calls = self.pending_calls.get(event.name)
         if not calls:
@@ -124,13 +141,13 @@
         return call
 
     def report_after_reply(self, now: float, call: CounterCall) -> Actions:
-        """Report what the reply has left to report, and put the name's total right."""
+        """Return units that are left over after a reply, and correct the name's total."""
         customer = call.customer
         if call.surplus is None:
             return []
         actions = self.report_usage(now, customer) if customer.unreported_units <= 0 else []
         if abs(call.surplus) > MAX_DRIFT_FRACTION * customer.plan.burst:
-            # of two gateways that correct it at once the later takes its correction back
+            # If two gateways correct a total at once, the later one undoes its correction.
             reported_units = min(call.surplus, 0.0)
             correction = max(call.surplus, 0.0)
             actions.append(self._call(now, CounterCall(customer, reported_units, correction, None)))
@@ -145,18 +162,19 @@
         return self._random.random() * FULL_CALL_RATE < self.counter_call_rate
 
     def _adjust_call_rate(self, now: float, event: CounterReplied) -> None:
-        """Call a counter more often that replies promptly, and one less often that does not."""
+        """Raise the call rate for a prompt reply, and lower it for a late or missing one."""
         late_ms = LATE_REPLY_FRACTION * self._settings.counter_timeout_ms
         if event.outcome is Outcome.OK and event.elapsed_ms < late_ms:
             self.counter_call_rate = min(1.0, self.counter_call_rate + CALL_RATE_INCREASE)
             return
         if event.outcome is Outcome.RESET and now - event.elapsed_ms < self._congested_at:
-            return  # calls lost with one connection are one sign of congestion
+            return  # all calls lost with one connection are a single sign of congestion
         self.counter_call_rate = max(MIN_CALL_RATE, self.counter_call_rate * CALL_RATE_DECREASE)
         self._congested_at = now
 
     def _apply_failure(self, call: CounterCall, outcome: Outcome) -> None:
-        # a call whose connection was lost was most likely never read; one timed out is under way
+        # The counter has probably not read a call whose connection was lost, but it may still apply
+        # one that timed out.
         not_applied = outcome.never_ran or outcome is Outcome.RESET
         call.grant = Grant.COUNTER_NOT_APPLIED if not_applied else Grant.COUNTER
         if not_applied:
@@ -178,7 +196,7 @@
         balance = customer.shared_balance
         if request is not None and is_waiting and balance + reported_units >= request.event.units:
             call.grant = Grant.COUNTER
-        # what is beyond the quota takes nothing from the balance, so it is returned
+        # Units beyond the quota are not taken from the balance, so they are returned.
         beyond_quota = min(max(reported_units, 0.0), max(0.0, -balance))
         if request is not None and call.grant is None:
             beyond_quota = reported_units
--- a/sumacpost/policy/retries.py
+++ b/sumacpost/policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries: their budget, the table of those permitted, and hedged requests."""
+"""Retries: their budget, which of them are permitted, and the timer for hedged requests."""
 
 from sumacpost.model import (
     Actions,
@@ -11,37 +11,37 @@
 from sumacpost.policy.attempt_rules import not_repeated_reason
 from sumacpost.policy.pending_request import PendingRequest
 
-RETRY_RATIO = 0.1  # retries earned by each request
-MAX_RETRY_TOKENS = 10.0  # saved up at most
+RETRY_RATIO = 0.1  # retry tokens that each request adds to the budget
+MAX_RETRY_TOKENS = 10.0  # capacity of the budget, which is full at the start
 
 
 class RetryPolicy:
-    """Says which requests may be tried again, and when a hedged attempt may follow."""
+    """Decides which requests may be retried, and when a hedged attempt may follow."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self.retry_tokens = MAX_RETRY_TOKENS
 
     def deposit(self) -> None:
-        """Add what one request earns to the retry budget."""
+        """Add the tokens of one request to the retry budget."""
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_RATIO)
 
     def not_retried_reason(self, now: float, request: PendingRequest) -> NotSentReason | None:
-        """Return why no other attempt may be sent now, or None if one may."""
+        """Return why no further attempt may be sent now, or None if one may."""
         reason = not_repeated_reason(now, request, self._settings)
         if reason is None and self.retry_tokens < 1:
             return NotSentReason.RETRY_BUDGET
         return reason
 
     def permits_rejection(self, request: PendingRequest) -> bool:
-        """Return whether the client may be told to come back, which it may do at any backend."""
+        """Return whether the client may be told to retry; its retry can get to any backend."""
         scope = request.request_class.deduplication_scope
         return request.is_repeatable or (
             request.has_idempotency_key and scope is DeduplicationScope.ALL
         )
 
     def hedge_timer(self, now: float, request: PendingRequest, overdue_after_ms: float) -> Actions:
-        """Return the timer to look at the attempt sent last, if another could follow it then."""
+        """Return the timer for the latest attempt, if a hedged attempt could follow it then."""
         settings = self._settings
         idempotency = request.request_class.idempotency
         repeatable = settings.hedging and idempotency is not Idempotency.NOT_IDEMPOTENT
--- a/sumacpost/policy/return_queue.py
+++ b/sumacpost/policy/return_queue.py
@@ -1,39 +1,41 @@
-"""DIBA: the virtual queue of rejected clients, under the names of the paper's Algorithm 6."""
+"""The virtual queue of rejected clients of DIBA, with the names of the paper's Algorithm 6."""
 
 from collections import deque
 from math import sqrt
 
-MAX_WAIT_MS = 10_000.0  # clients that return at once would lengthen the queue without end
+# Bound on the wait: clients that retry at once would make the queue grow without limit.
+MAX_WAIT_MS = 10_000.0
 
 
 class ReturnQueue:
-    """The virtual queue of one customer's rejected clients, and what its requests use."""
+    """The return queue of one customer's rejected clients, and the units its requests use."""
 
     __slots__ = ("appointments", "end_of_queue_time", "requests", "squared_unit_sum", "unit_sum")
 
     def __init__(self, now: float) -> None:
         self.end_of_queue_time = now
-        self.appointments: deque[float] | None = None  # return times; None until the first
-        self.requests = 0  # answered ones
+        self.appointments: deque[float] | None = None  # return times; None before the first
+        self.requests = 0  # answered requests
         self.unit_sum = 0.0
         self.squared_unit_sum = 0.0
 
     def record_units(self, units: float) -> None:
-        """Take in what an answered request has used."""
+        """Record the units that an answered request has used."""
         self.requests += 1
         self.unit_sum += units
         self.squared_unit_sum += units * units
 
     def record_return(self) -> None:
-        """Remove the first appointment: its client has come back."""
+        """Remove the first appointment, as its client has retried."""
         if self.appointments:
             self.appointments.popleft()
 
     def schedule(self, now: float, units: float, fill_rate: float, no_show_ms: float) -> float:
-        """Return for how many milliseconds a client whose request would use units is to stay away.
+        """Give a rejected client a return time; return the wait until then, in ms.
 
-        fill_rate: units a second that its bucket gains; 0: the quota has no limit. no_show_ms: an
-        appointment this late will not be kept.
+        units: the units of the client's request.
+        fill_rate: the units per second that the bucket gains; 0: the quota has no limit.
+        no_show_ms: an appointment this long overdue is dropped.
         """
         if self.appointments is None:
             self.appointments = deque()
@@ -49,14 +51,14 @@
             return_time = self.end_of_queue_time + queue_interval
             self.end_of_queue_time = return_time
         if return_time > now + MAX_WAIT_MS:
-            # nobody waits so long: the client takes no place that others would stand behind
+            # The client will not wait that long, so it gets no place in the queue.
             self.end_of_queue_time = min(self.end_of_queue_time, now + MAX_WAIT_MS)
             return MAX_WAIT_MS
         self.appointments.append(return_time)
         return return_time - now
 
     def _desired_return_rate(self, units: float, fill_rate: float) -> float:
-        """Return how many clients a second are to come back, by mean and spread of their units."""
+        """Return how many clients should return per second, by mean and deviation of units."""
         mean = self.unit_sum / self.requests if self.requests else units
         mean_square = self.squared_unit_sum / self.requests if self.requests else 0.0
         variance = mean_square - mean * mean if self.requests > 1 else 0.0
--- a/sumacpost/policy/service_time.py
+++ b/sumacpost/policy/service_time.py
@@ -1,44 +1,44 @@
-"""What a request of usual work takes on a backend that has no other."""
+"""The service time: what a request of mean work takes on an otherwise idle backend."""
 
 from collections import deque
 from math import sqrt
 
-BLOCK_SIZE = 30  # observations that are averaged
+BLOCK_SIZE = 30  # observations averaged in a block
 KEPT_BLOCKS = 8
-MARGIN_DEVIATIONS = (
-    1.5  # of a mean, in standard deviations as large as the mean: it may be longer by it
-)
-MAX_STEP = 4.0  # an observation counts for this times what is known at most
+# Margin above a mean, in standard errors, with a standard deviation as large as the mean.
+MARGIN_DEVIATIONS = 1.5
+MAX_STEP = 4.0  # bound on an observation, as a multiple of the present estimate
 
 
 class ServiceTime:
-    """The mean of one of the calmer of the latest blocks of observations.
+    """The lower quartile of the means of the latest blocks of observations.
 
-    Requests wait for others that a gateway does not see. So an observation is the service time or
-    more, and nearest to it while the fleet is calm. A block is the sum of its times over the sum of
-    its work: small requests wait as long as large ones, and would weigh too much one by one.
+    Requests may wait for requests of other gateways, which this gateway does not see. So the
+    observations are the service time or more, and closest to it at low load. The mean of a block is
+    the sum of its times over the sum of its work: small requests wait as long as large ones, and
+    would have too much weight in a mean of ratios.
     """
 
     def __init__(self, initial_ms: float) -> None:
-        """Take what is believed before the first observation; it weighs as much as one."""
+        """Start with an assumed value, which has the weight of one observation."""
         self._mean_ms = initial_ms
         self._initial_ms = initial_ms
-        self._observations = 1  # that the mean is of
+        self._observations = 1  # number of observations in the mean
         self._blocks: deque[float] = deque(maxlen=KEPT_BLOCKS)
-        self._count = 0  # of the block that is being filled
+        self._count = 0  # observations in the current block
         self._elapsed_ms = 0.0
-        self._requests = 0.0  # of usual work
+        self._requests = 0.0  # requests of mean work in the current block
 
     def upper_bound_ms(self, gateways: int) -> float:
-        """Return what a request of usual work takes, or more where little is known of it.
+        """Return the time of a request of mean work, with a margin for few observations, in ms.
 
-        gateways: how many share what is decided by it. Their errors cancel out, as each has
-        observations of its own.
+        gateways: the number of gateways that share the decision based on it. Their errors partly
+            cancel out, as each gateway has its own observations.
         """
         return self._mean_ms * (1 + MARGIN_DEVIATIONS / sqrt(self._observations * gateways))
 
     def observe(self, elapsed_ms: float, requests: float) -> None:
-        """Take in what a request took, and how many of usual work it stands for."""
+        """Record the time of a request, and its work in requests of mean work."""
         self._count += 1
         self._elapsed_ms += min(elapsed_ms, MAX_STEP * self._mean_ms * requests)
         self._requests += requests
--- a/sumacpost/policy/shutdown.py
+++ b/sumacpost/policy/shutdown.py
@@ -1,9 +1,9 @@
-"""When a graceful shutdown does what: every time in it follows from the earliest SIGKILL.
+"""The schedule of a graceful shutdown, which is derived from the earliest time of SIGKILL.
 
-The platform sends SIGKILL no sooner than the longest deadline of the deployment, counted as 3 s
-where it is longer, and 0.7 s after SIGTERM. What is unanswered then is lost, and so is what a
-client sends on a connection that is still open: so all responses are written, and all connections
-closed, before that. With short deadlines SIGKILL comes soon, and each step is shorter.
+The platform sends SIGKILL no earlier than 0.7 s plus the longest deadline of the deployment, which
+counts as at most 3 s, after SIGTERM. Requests without a response are lost then, and so are requests
+that clients send on a connection that has not been closed. So all responses are written, and all
+connections closed, before that. With short deadlines SIGKILL comes early, and steps are shorter.
 """
 
 from collections.abc import Sequence
@@ -11,37 +11,40 @@
 
 from sumacpost.model import RequestClass
 
-MAX_COUNTED_DEADLINE_MS = 3000.0  # of the rule: a longer deadline counts as this
-KILL_GRACE_MS = 700.0  # of the rule
-# A process may be held up for 150 ms at a time: as the signal comes, and as a response is due.
+MAX_COUNTED_DEADLINE_MS = 3000.0  # the platform counts a longer deadline as this
+KILL_GRACE_MS = 700.0  # the platform's time between the longest deadline and SIGKILL
+# The process may be stalled for 150 ms at a time: when the signal arrives, and when a response is
+# due.
 RESPONSE_MARGIN_MS = 300.0
-# For the process to end, which takes it some 50 ms of processor time, on a busy machine.
+# Time for the process to exit, which takes about 50 ms of processor time, on a busy machine.
 EXIT_MARGIN_MS = 200.0
-# The listener accepts for at least this long: clients learn late that the service ends.
+# The listener accepts for at least this long, as clients notice the shutdown with a delay.
 MIN_ACCEPT_MS = 400.0
-# No connection for this long means that clients have learnt it; an idle one is closed after it.
+# No new connection for this long means that clients know of the shutdown. Idle connections are
+# closed after the same time.
 QUIET_MS = 200.0
-# The listener accepts no longer than this, though connections keep coming.
+# The listener accepts no longer than this, even if there are new connections.
 MAX_ACCEPT_MS = 1000.0
-# For a request that is still coming when the listener is closed.
+# Time for a request that is incomplete when the listener is closed.
 REQUEST_TIMEOUT_MS = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """The steps of a shutdown, in milliseconds after SIGTERM unless said otherwise.
+    """The steps of a shutdown, in ms after SIGTERM unless stated otherwise.
 
     Attributes:
-        kill_after_ms: SIGKILL may come from then on.
-        min_accept_ms: until then connections are accepted in any case.
-        max_accept_ms: until then while they keep coming; while some wait that can't be accepted, as
-            all places are taken, until respond_within_ms: they would be reset.
-        quiet_ms: a span: without a new connection for this long, no more are expected; an idle
-            connection is closed after it.
-        request_timeout_ms: a span: an incomplete request is rejected after it.
-        respond_within_ms: until then each request has its final response, and each connection is
-            closed or closing: no other request is read.
-        exit_within_ms: until then the process begins to end, whatever is still open.
+        kill_after_ms: the earliest time of SIGKILL.
+        min_accept_ms: connections are accepted at least until then.
+        max_accept_ms: connections are accepted until then while there are new ones. While some wait
+            that can't be accepted, as the connection limit is reached, the listener stays in use
+            until respond_within_ms: closing it would reset them.
+        quiet_ms: a duration: after this long without a new connection no more are expected, and an
+            idle connection is closed.
+        request_timeout_ms: a duration after which an incomplete request is rejected.
+        respond_within_ms: by then each request has its final response, and each connection is
+            closed or closing; no further request is read.
+        exit_within_ms: the process starts to exit by then, even if connections are still open.
     """
 
     kill_after_ms: float
@@ -54,7 +57,7 @@
 
 
 def shutdown_schedule(classes: Sequence[RequestClass]) -> ShutdownSchedule:
-    """Return the schedule for a deployment with these classes of requests."""
+    """Return the schedule for a deployment with these request classes."""
     longest_ms = max(request_class.deadline_ms for request_class in classes)
     kill_after_ms = min(longest_ms, MAX_COUNTED_DEADLINE_MS) + KILL_GRACE_MS
     respond_within_ms = kill_after_ms - RESPONSE_MARGIN_MS
--- a/sumacpost/policy/slow_start.py
+++ b/sumacpost/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""The budget of attempts at a backend that is warming up."""
+"""The limit on attempts at a backend that is warming up."""
 
 from math import inf
 
@@ -9,13 +9,14 @@
 from sumacpost.policy.slow_start_budget import gateway_share, window_units
 from sumacpost.policy.subsetting import UINT64_MASK, splitmix64
 
-OVERLOAD_SAFETY_FRACTION = 0.8  # of what overloads a warm backend or a core: it may be a slower one
-ROUNDING_REQUESTS = 0.5  # of a request
-ARRIVAL_SPREAD_MS = 50.0  # by which attempts may arrive closer together than they were sent
+# Safety factor on the capacity of a warm backend or a core, as this backend may be a slower one.
+OVERLOAD_SAFETY_FRACTION = 0.8
+ROUNDING_REQUESTS = 0.5  # requests of mean work by which a share may be exceeded
+ARRIVAL_SPREAD_MS = 50.0  # attempts may arrive closer together by this than they were sent
 
 
 class SlowStart:
-    """Keeps what all gateways send to a warming backend inside what overloads it."""
+    """Keeps the load that all gateways send to a warming backend below what overloads it."""
 
     def __init__(
         self, settings: Settings, endpoints: EndpointTable, estimate: FleetEstimate
@@ -27,16 +28,17 @@
         self._first_event_at = inf
 
     def record_event(self, now: float) -> None:
-        """Take note of the first event of this gateway's life; later ones change nothing."""
+        """Record the time of this gateway's first event; later events change nothing."""
         self._first_event_at = min(self._first_event_at, now)
 
     def admits(self, now: float, backend: Backend, work_ms: float) -> bool:
-        """Return whether a backend is warm, or its budget here has room for work of so many ms.
+        """Return whether a backend is warm, or this gateway's share of its budget covers the work.
 
-        Half a request of mean work is rounded off, so that a share of one request is of use to the
-        larger half of them too.
+        The share may be exceeded by half a request of mean work, so that a share of one request can
+        also be used for requests larger than the mean.
         """
-        # at the begin of each window that the attempt will be in, the backend is at least as warm
+        # In each window that will contain the attempt, the backend has at least this capacity from
+        # the start.
         capacity_fraction = backend.capacity_fraction(now - self._window_ms, self._settings)
         if capacity_fraction >= 1:
             return True
@@ -53,15 +55,15 @@
     def record_send(
         self, now: float, backend: Backend, request: int, number: int, work_ms: float
     ) -> None:
-        """Count an attempt that is being sent, or written later than it was sent."""
+        """Record an attempt that is being sent, or that is written later than it was sent."""
         if backend.capacity_fraction(now - self._window_ms, self._settings) < 1:
             backend.recent_work.add((request, number), now, work_ms)
 
     def _budget_may_be_spent(self, now: float, backend: Backend) -> bool:
-        """Return whether an earlier life of this gateway may have spent the budget of a backend.
+        """Return whether this gateway may have spent the budget before it was restarted.
 
-        Not where the backend has started in this life. Where no backend is warm, all have started
-        together, and there is nothing else to send to.
+        This is impossible if the backend has started since then. If no backend is warm, all have
+        started together and there is no other backend to send to, so the budget counts as unspent.
         """
         if now - self._first_event_at >= self._window_ms:
             return False
@@ -74,14 +76,15 @@
         )
 
     def _window_share(self, now: float, backend: Backend, capacity_fraction: float) -> int:
-        """Return the requests of mean work that this gateway may send in the present period."""
+        """Return the requests of mean work that this gateway may send in the current period."""
         subset = self._endpoints.subset
         number = backend.endpoint.backend
         rank = subset.rank_of(number)
         if rank is None:
-            return 0  # the gateways that have it in their subsets share all of the budget
+            return 0  # the gateways with the backend in their subsets share the whole budget
         gateways = subset.gateway_count(number)
-        # counted from its start, which all gateways know, whatever their clocks say
+        # Periods are counted from the backend's start, so that they agree at all gateways even if
+        # their clocks differ.
         age_ms = now - backend.endpoint.up_since_ms
         period = int(age_ms // self._settings.overload_window_ms)
         key = (period, gateways, rank)
@@ -95,10 +98,11 @@
         return backend.slow_start_share
 
     def _expected_requests(self, capacity_fraction: float, gateways: int) -> float:
-        """Return what a backend bears in a window without the allowance for chance, or less.
+        """Return N of slow_start_budget for a backend, or less.
 
-        By the load reports of warm ones, or as if it had one core where there are none. Its own
-        reports are of a few requests each, and may say ten times what it can do.
+        It is based on the load reports of warm backends, or on the capacity of one core if that is
+        more or there are no reports. The backend's own reports are not used: each covers only a few
+        requests and may show ten times its capacity.
         """
         settings = self._settings
         service_ms = self._estimate.service_time.upper_bound_ms(gateways)
--- a/sumacpost/policy/slow_start_budget.py
+++ b/sumacpost/policy/slow_start_budget.py
@@ -1,30 +1,33 @@
-"""What all gateways together may send to a backend that is warming up, and the share of each.
+"""The budget of all gateways for a backend that is warming up, and the share of each gateway.
 
-In each window of the overload time a backend bears bound(N) requests of mean work, where N is the
-overload factor times what it can do in that time. It must not fall by more than two thirds of
-requests from gateways that know of its start, whatever the others send, so for each window
+Within each window of Settings.overload_window_ms a backend tolerates bound(N) requests of mean work
+without failing, where N is the overload factor times what it can serve in that time. A failure must
+never be due to the gateways that know of the backend's start, whatever the other gateways send. It
+would be if they had sent more than two thirds of the load, so for each window
 
-    sent by all gateways that know of the start  <=  2/3 * bound(N)        N: at the window's begin
+    sent by all gateways that know of the start  <=  2/3 * bound(N)    N: at the start of the window
 
-holds where each gateway keeps to its share in every window, not in windows of its own, and the
-shares add up to it. `units` are dealt out in periods of the window's length, in whole requests: all
-gateways get units // gateways, and units % gateways of them, drawn anew for each period, one more.
-A window touches two periods and may meet the extra requests of both:
+has to be true. It is if each gateway stays within its share in every window, wherever that starts,
+and the shares add up to no more than this. `units` are assigned for periods of the window's length,
+in whole requests: each gateway gets units // gateways, and units % gateways of them, drawn for each
+period, get one more. A window overlaps two periods and may contain the extra requests of both:
 
     sum of shares in any window  <=  units + units % gateways
 """
 
 from math import sqrt
 
-SMALL_WINDOW_REQUESTS = 30.0  # below which a backend bears more by chance
-NOTIFIED_FRACTION = 2 / 3  # of a fall: with less of it from those that know, it is not theirs
+SMALL_WINDOW_REQUESTS = 30.0  # for fewer requests, the allowance for random variation is larger
+# A failure is not attributed to the gateways that know of the backend's start if they sent less
+# than this fraction of the load.
+NOTIFIED_FRACTION = 2 / 3
 
 
 def tolerated_requests(expected: float) -> float:
-    """Return the requests of mean work that a backend bears in a window.
+    """Return the requests of mean work that a backend tolerates in a window: bound(N).
 
-    expected: N, or less. The allowance is smaller from SMALL_WINDOW_REQUESTS
-        on, and N may be there.
+    expected: N or less. From SMALL_WINDOW_REQUESTS on the allowance is smaller. As N may be in that
+        range, a smaller `expected` never gives more than the bound at its start.
     """
     at_least_small = max(expected, SMALL_WINDOW_REQUESTS)
     tolerated = at_least_small + 2 * sqrt(at_least_small) + 2
@@ -34,17 +37,18 @@
 
 
 def window_units(expected: float, gateways: int, rounding: float) -> int:
-    """Return the requests that all gateways together get in a period.
+    """Return the requests that all gateways together may send in a period.
 
-    expected: N, or less.
-    rounding: in [0, 1), the same for all gateways; decides about the part of a request.
+    expected: N or less.
+    rounding: in [0, 1), the same at all gateways; decides whether a fraction of a request is
+        rounded up.
     """
     limit = int(NOTIFIED_FRACTION * tolerated_requests(expected))
     equal_part = limit // gateways * gateways
-    extra_part = (limit - equal_part) // 2  # two periods meet in a window
+    extra_part = (limit - equal_part) // 2  # halved, as a window overlaps two periods
     return min(int(expected + rounding), equal_part + extra_part)
 
 
 def gateway_share(units: int, gateways: int, position: int) -> int:
-    """Return what the gateway at a place in a period's order gets; places are from 0."""
+    """Return the share of the gateway at this position, from 0, in the order of a period."""
     return (units + position) // gateways
--- a/sumacpost/policy/subsetting.py
+++ b/sumacpost/policy/subsetting.py
@@ -1,37 +1,40 @@
-"""Partition of a long endpoint list, and the subset of it that each gateway sends to.
+"""Partitioning of a long endpoint list, and the subset of it that each gateway sends to.
 
-Both follow from the list and the gateway's index alone: gateways agree without communication.
+Both depend only on the list and the gateway's index, so gateways agree without communication.
 """
 
 from bisect import bisect_left
 from math import ceil, gcd
 from typing import NamedTuple
 
-MIN_SUBSET_SIZE = 3  # backends of a gateway, and gateways of a backend
-MAX_CANDIDATES = 16  # backends compared for one send
-# Bound on a gateway's backends, relative to the mean: closer to 1, one change moves many others.
+MIN_SUBSET_SIZE = 3  # fewest backends of a gateway, and fewest gateways of a backend
+MAX_CANDIDATES = 16  # backends compared for one attempt
+# Bound on a gateway's number of backends, relative to the mean. With a value closer to 1, one
+# change of the list changes many other pairs.
 MAX_LOAD_FACTOR = 1.05
-RELAXATION_ATTEMPTS = 16  # after so many, a backend may have one gateway more than the mean
+# Attempts after which a backend may have one more gateway than the mean.
+RELAXATION_ATTEMPTS = 16
 MAX_PARTITION_BACKENDS = 1024
 MIN_PARTITION_GATEWAYS = 32
-# Gateways whose subsets are computed together: one change of the list costs a millisecond or two.
+# Most gateways whose subsets are computed together: a change of the list then takes a millisecond
+# or two.
 MAX_SHARD_GATEWAYS = 512
 UINT64_MASK = (1 << 64) - 1
-ROUNDING_ERROR = 1e-9  # of a mean that is rounded up
+ROUNDING_ERROR = 1e-9  # tolerance when a mean is rounded up
 
 
 def splitmix64(number: int) -> int:
-    """Return a 64-bit hash, the finalizer of splitmix64: the same at every gateway."""
+    """Return a 64-bit hash (the finalizer of splitmix64) that is the same at every gateway."""
     number = (number ^ number >> 30) * 0xBF58476D1CE4E5B9 & UINT64_MASK
     number = (number ^ number >> 27) * 0x94D049BB133111EB & UINT64_MASK
     return number ^ number >> 31
 
 
 class Partition:
-    """The part of a long list that one gateway holds: its memory doesn't grow with the fleet.
+    """The part of a long list that one gateway keeps: its memory doesn't grow with the fleet.
 
-    Backends are dealt by hash, and gateways by index, to a number of partitions that is a power of
-    two. A short list is one partition.
+    Backends are assigned by hash, and gateways by index, to a number of partitions that is a power
+    of two. A short list has one partition.
     """
 
     def __init__(self, gateways: int, index: int, partition_count: int = 1) -> None:
@@ -40,56 +43,56 @@
         self.partition_count = partition_count
 
     def contains(self, backend: int) -> bool:
-        """Return whether the backend is of this gateway's partition."""
+        """Return whether the backend belongs to this gateway's partition."""
         return self.partition_count == 1 or self.contains_hash(splitmix64(backend))
 
     def contains_hash(self, backend_hash: int) -> bool:
-        """Return whether the backend with this hash is of this gateway's partition."""
+        """Return whether the backend with this hash belongs to this gateway's partition."""
         return backend_hash % self.partition_count == self.index % self.partition_count
 
     def split_to_fit(self, list_length: int) -> bool:
-        """Divide until a list of this length fits; return whether that changed the partition."""
+        """Split partitions until a list of this length fits; return whether any were split."""
         previous_count = self.partition_count
         while list_length > self.partition_count * MAX_PARTITION_BACKENDS and self._is_divisible():
             self.partition_count *= 2
         return self.partition_count != previous_count
 
     def needs_repartitioning(self, backend_count: int) -> bool:
-        """Return whether so many backends held show a fleet far too large or small for it."""
+        """Return whether a partition with this many backends is far too large or too small."""
         if backend_count > 2 * MAX_PARTITION_BACKENDS:
             return self._is_divisible()
         return self.partition_count > 1 and backend_count < MAX_PARTITION_BACKENDS / 4
 
     def _is_divisible(self) -> bool:
-        """Return whether twice as many partitions would have enough gateways each."""
+        """Return whether each of twice as many partitions would have enough gateways."""
         return 2 * self.partition_count * MIN_PARTITION_GATEWAYS <= self.gateways
 
 
 class ReadyBackend(NamedTuple):
-    """A ready backend with its draws, which follow from its hash. Sorted by hash."""
+    """A ready backend with the values drawn from its hash; sorts by hash."""
 
     hash: int
     backend: int
-    first_gateway: int  # where its probe sequence begins
-    step: int  # from one gateway of the sequence to the next
-    fraction: float  # in [0, 1): decides whether the mean is rounded up or down
+    first_gateway: int  # start of the probe sequence
+    step: int  # distance between consecutive gateways of the probe sequence
+    fraction: float  # in [0, 1); decides whether the mean number of gateways is rounded up
 
 
 class Assignment(NamedTuple):
     """The subsets of all gateways of a shard."""
 
-    subsets: list[list[int]]  # of each gateway
-    gateway_counts: dict[int, int]  # gateways of each backend, within the shard
+    subsets: list[list[int]]  # backends by gateway
+    gateway_counts: dict[int, int]  # number of gateways in the shard, by backend
 
 
 class Subset:
     """The ready backends of its partition that a gateway sends to.
 
-    Consistent hashing with bounded loads: each backend, in the order of the hashes, takes gateways
-    along its own probe sequence, skipping those that have enough; then gateways left with fewer
-    than the mean take further backends. Loads are even, and few pairs change when a backend does.
+    Consistent hashing with bounded loads: each backend, in the order of hashes, takes gateways
+    along its own probe sequence and skips full ones; then gateways with fewer backends than the
+    mean take further ones. Loads are even, and few pairs change when a backend is added or removed.
     The result doesn't depend on the history of the list. The gateways of a large fleet form shards
-    that compute their subsets separately and share out a backend's gateways.
+    that compute their subsets separately; each shard provides a part of a backend's gateways.
     """
 
     def __init__(self, gateways: int, index: int, partition_count: int = 1) -> None:
@@ -102,17 +105,20 @@
         self.shard_gateways = len(range(self.shard, partition_gateways, self.shard_count))
         self.ready: list[ReadyBackend] = []
         self._shard_position = position // self.shard_count
-        # A step that is coprime to the number of gateways leads to each of them once.
+        # A step that is coprime to the number of gateways visits each of them once.
         candidates = range(1, max(2, self.shard_gateways))
         self._steps = [step for step in candidates if gcd(step, self.shard_gateways) == 1]
-        self._is_current = False  # whether the two below are those of the present list
+        self._is_current = False  # whether the attributes below match self.ready
         self._members: list[int] = []
         self._gateway_counts: dict[int, int] = {}
-        self._subsets: list[list[int]] = []  # of all gateways of the shard
-        self._ranks: dict[int, int | None] = {}  # those that were asked for
+        self._subsets: list[list[int]] = []  # by gateway of the shard
+        self._ranks: dict[int, int | None] = {}  # cache, by backend
 
     def set_ready(self, backend: int, ready: bool, backend_hash: int | None = None) -> None:
-        """Record whether a backend is ready; backend_hash: its splitmix64, where that is known."""
+        """Record whether a backend is ready.
+
+        backend_hash: the splitmix64 of the backend, if the caller has it already.
+        """
         key = (splitmix64(backend) if backend_hash is None else backend_hash, backend)
         position = bisect_left(self.ready, key)
         was_ready = self.ready[position : position + 1] and self.ready[position][:2] == key
@@ -124,21 +130,21 @@
             self._is_current = False
 
     def members(self) -> list[int]:
-        """Return the backends of this gateway."""
+        """Return the backends in this gateway's subset."""
         if not self._is_current:
             self._update()
         return self._members
 
     def gateway_count(self, backend: int) -> int:
-        """Return how many gateways send to this backend, all shards together."""
+        """Return how many gateways of all shards send to this backend."""
         if not self._is_current:
             self._update()
         return max(1, self._gateway_counts.get(backend, 1)) * self.shard_count
 
     def rank_of(self, backend: int) -> int | None:
-        """Return this gateway's place among those that send to a backend; None: it is not one.
+        """Return this gateway's rank among those that send to a backend, or None if it does not.
 
-        Places are from 0, below gateway_count(backend).
+        Ranks start at 0 and are below gateway_count(backend).
         """
         if not self._is_current:
             self._update()
@@ -177,12 +183,12 @@
         return ReadyBackend(backend_hash, backend, draw % self.shard_gateways, step, fraction)
 
     def _assign_bounded(self, mean_gateways: float, max_size: int) -> Assignment:
-        """Give each backend its gateways along its probe sequence, none more than max_size."""
+        """Assign gateways to backends along their probe sequences, with max_size backends each."""
         gateways = self.shard_gateways
         subsets: list[list[int]] = [[] for _ in range(gateways)]
         gateway_counts = {}
         free_slots = [max_size] * gateways
-        shard_offset = self.shard / self.shard_count  # so that the shards round differently
+        shard_offset = self.shard / self.shard_count  # makes shards round differently
         for _, backend, first_gateway, step, fraction in self.ready:
             wanted = min(gateways, int(mean_gateways + (fraction + shard_offset) % 1))
             missing = wanted
@@ -199,7 +205,7 @@
         return Assignment(subsets, gateway_counts)
 
     def _fill_up(self, assignment: Assignment, mean_gateways: float, min_size: int) -> None:
-        """Add backends to gateways with fewer than min_size, first those that few gateways have."""
+        """Add backends to gateways with fewer than min_size, preferring those with few gateways."""
         gateway_counts = assignment.gateway_counts
         for gateway, subset in enumerate(assignment.subsets):
             draw = gateway
