--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -21,11 +21,11 @@
     AttemptEnded,
     Cancel,
     DeadlineReached,
+    DenialReason,
     DrainStarted,
     EndpointListUpdate,
     Event,
     Fail,
-    NotSentReason,
     Outcome,
     Reject,
     RequestCancelled,
@@ -307,15 +307,15 @@
             self.cancel_request(pending)
         if attempt.ended:
             return False
-        reason = self._gateway.not_written_reason(self._clock.now(), pending.number, attempt.index)
+        reason = self._gateway.write_denial_reason(self._clock.now(), pending.number, attempt.index)
         if reason is None and not attempt.retryable and pending.other_attempt_may_have_run(attempt):
             # Checked here independently of the gateway: a fault in the gateway's state must not
             # cause a second execution of the request.
-            reason = NotSentReason.SECOND_COPY
+            reason = DenialReason.SECOND_COPY
             self.recorder.record_violation("second_execution", pending.request.id)
         if reason is None:
             return True
-        if reason is NotSentReason.CONCLUDED and pending.number in self._pending:
+        if reason is DenialReason.CONCLUDED and pending.number in self._pending:
             self.recorder.record_violation("forgotten_by_policy", pending.request.id)
             self._respond(pending, 500, "internal_error")
             return False
--- a/sumacpost/model/actions.py
+++ b/sumacpost/model/actions.py
@@ -16,8 +16,8 @@
     HEDGE = "hedge"  # the previous attempt is overdue and still in flight
 
 
-class NotSentReason(Enum):
-    """Why a request is not served, or an attempt is not sent; the values appear in the log."""
+class DenialReason(Enum):
+    """Why a request is rejected or failed, or an attempt is not sent; the values are logged."""
 
     UNSTATED = "unstated"
     QUOTA = "quota"  # the customer has exceeded its quota
@@ -25,12 +25,12 @@
     OVERLOAD = "overload"  # no backend is expected to respond in time
     NOT_REPEATABLE = "not_repeatable"  # an attempt may have run, and no other may follow it
     ATTEMPTS_USED = "attempts_used"  # the request has had as many attempts as the settings allow
-    DEADLINE = "deadline"  # too little time is left for another attempt
+    DEADLINE = "deadline"  # the deadline has passed or is too near for another attempt
     RETRY_BUDGET = "retry_budget"  # the gateway is sending too many retries in total
     NO_BACKEND = "no_backend"  # no backend is available for a retry
     WINDOW_OVER = "window_over"  # backends may have dropped the request's idempotency key
     OUT_OF_SCOPE = "out_of_scope"  # the backend does not recognize the key of an earlier attempt
-    SECOND_COPY = "second_copy"  # another attempt is in flight, and only one is allowed
+    SECOND_COPY = "second_copy"  # another attempt is in flight or may have run; one is allowed
     BACKEND_NOT_READY = "backend_not_ready"  # the backend is draining, removed or restarted
     CONCLUDED = "concluded"  # the request has its final response
 
@@ -77,7 +77,7 @@
 
     request: int
     retry_after_ms: float = 0.0
-    reason: NotSentReason = NotSentReason.UNSTATED
+    reason: DenialReason = DenialReason.UNSTATED
 
 
 @dataclass(slots=True)
@@ -90,7 +90,7 @@
     """
 
     request: int
-    reason: NotSentReason = NotSentReason.UNSTATED
+    reason: DenialReason = DenialReason.UNSTATED
 
 
 @dataclass(slots=True)
--- a/sumacpost/policy/attempt_rules.py
+++ b/sumacpost/policy/attempt_rules.py
@@ -5,7 +5,7 @@
 backend may have started to drain, and another attempt may have run.
 """
 
-from sumacpost.model import DeduplicationScope, Endpoint, Idempotency, NotSentReason, Settings
+from sumacpost.model import DeduplicationScope, DenialReason, Endpoint, Idempotency, Settings
 from sumacpost.policy.endpoint_table import zone_and_cell_groups
 from sumacpost.policy.pending_request import PendingRequest
 
@@ -14,53 +14,53 @@
 ARRIVAL_MARGIN_MS = 50.0
 
 
-def not_repeated_reason(
+def repeat_denial_reason(
     now: float, request: PendingRequest, settings: Settings
-) -> NotSentReason | None:
+) -> DenialReason | None:
     """Return why no further attempt of a request may be sent now, or None if one may."""
     if not request.is_repeatable:
         if not request.has_idempotency_key:
-            return NotSentReason.NOT_REPEATABLE
+            return DenialReason.NOT_REPEATABLE
         if now >= request.pinned_until - settings.connect_timeout_ms - ARRIVAL_MARGIN_MS:
-            return NotSentReason.WINDOW_OVER
+            return DenialReason.WINDOW_OVER
     if len(request.attempted_backends) >= settings.max_attempts:
-        return NotSentReason.ATTEMPTS_USED
+        return DenialReason.ATTEMPTS_USED
     if now >= request.deadline - settings.tick_ms:
-        return NotSentReason.DEADLINE
+        return DenialReason.DEADLINE
     return None
 
 
-def not_written_reason(
+def write_denial_reason(
     now: float, request: PendingRequest, attempt: int, ready: bool, settings: Settings
-) -> NotSentReason | None:
+) -> DenialReason | None:
     """Return why an attempt whose backend is chosen may not be written now, or None if it may.
 
     ready: whether that backend is still listed as ready, in the incarnation that was chosen.
     """
     if now >= request.deadline:
-        return NotSentReason.DEADLINE
+        return DenialReason.DEADLINE
     if not ready:
-        return NotSentReason.BACKEND_NOT_READY
+        return DenialReason.BACKEND_NOT_READY
     others_in_flight = any(number != attempt for number in request.in_flight)
     not_idempotent = request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
     if others_in_flight and (not_idempotent or not settings.hedging):
-        return NotSentReason.SECOND_COPY
+        return DenialReason.SECOND_COPY
     if request.is_repeatable:
         return None
-    return _not_repeated_at_endpoint_reason(
+    return _repeat_denial_reason_at_endpoint(
         now, request, request.attempted_backends[attempt].endpoint
     )
 
 
-def _not_repeated_at_endpoint_reason(
+def _repeat_denial_reason_at_endpoint(
     now: float, request: PendingRequest, endpoint: Endpoint
-) -> NotSentReason | None:
+) -> DenialReason | None:
     """Return why a request that may have run may not be written to this backend, or None."""
     if not request.has_idempotency_key:
-        return NotSentReason.NOT_REPEATABLE
+        return DenialReason.NOT_REPEATABLE
     if now >= request.pinned_until - ARRIVAL_MARGIN_MS:
-        return NotSentReason.WINDOW_OVER
-    return None if _in_scope(request, endpoint) else NotSentReason.OUT_OF_SCOPE
+        return DenialReason.WINDOW_OVER
+    return None if _in_scope(request, endpoint) else DenialReason.OUT_OF_SCOPE
 
 
 def _in_scope(request: PendingRequest, endpoint: Endpoint) -> bool:
--- a/sumacpost/policy/gateway.py
+++ b/sumacpost/policy/gateway.py
@@ -8,14 +8,14 @@
     Action,
     Actions,
     Cancel,
+    DenialReason,
     Fail,
-    NotSentReason,
     Reject,
     Send,
     SendReason,
 )
 from sumacpost.model.settings import Settings
-from sumacpost.policy.attempt_rules import not_written_reason
+from sumacpost.policy.attempt_rules import write_denial_reason
 from sumacpost.policy.backend import Backend, InFlightAttempt
 from sumacpost.policy.endpoint_table import EndpointTable
 from sumacpost.policy.fleet_estimate import FleetEstimate
@@ -72,17 +72,17 @@
                 self._drain_started(now, event)
         return self._actions
 
-    def not_written_reason(self, now: float, number: int, attempt: int) -> NotSentReason | None:
+    def write_denial_reason(self, now: float, number: int, attempt: int) -> DenialReason | None:
         """Return why an attempt that was started may not be written now, or None if it may.
 
         If it may, the caller has to write it at once: slow start counts its work from now on.
         """
         request = self.pending.get(number)
         if request is None:
-            return NotSentReason.CONCLUDED
+            return DenialReason.CONCLUDED
         backend = request.attempted_backends[attempt]
         ready = self.endpoints.is_ready(backend)
-        reason = not_written_reason(now, request, attempt, ready, self.settings)
+        reason = write_denial_reason(now, request, attempt, ready, self.settings)
         if reason is None:
             self.load_balancer.slow_start.record_send(
                 now, backend, number, attempt, request.work_ms
@@ -93,7 +93,7 @@
         """Conclude a request that is still pending, such as one held for the counter's reply."""
         request = self.pending.get(event.request)
         if request is not None:
-            self._reject_or_fail(now, request, NotSentReason.DEADLINE)
+            self._reject_or_fail(now, request, DenialReason.DEADLINE)
 
     def _drain_started(self, now: float, event: events.DrainStarted) -> None:
         """Bring forward the deadlines of pending requests; the process ends before later ones."""
@@ -121,25 +121,25 @@
             return
         customer.exhausted = True
         if not below_ceiling:
-            self._reject(now, request, NotSentReason.CEILING)
+            self._reject(now, request, DenialReason.CEILING)
         elif plan.over_quota_weight > plan.over_quota_cost:
             exceeds_bucket = bucket_size < event.units
             self._admit(now, request, Grant.BUCKET if exceeds_bucket else Grant.BEYOND_QUOTA)
         elif not self.quota_sync.draw_admission(now, customer):
-            self._reject(now, request, NotSentReason.QUOTA)
+            self._reject(now, request, DenialReason.QUOTA)
         elif self.quota_sync.should_ask_counter(now, request):
             self._ask_counter(now, request)
         elif self.quota_sync.enabled or customer.tokens >= bucket_size:
             # A full bucket is enough for a larger request, which could never pass otherwise.
             self._admit(now, request, Grant.BUCKET)
         else:
-            self._reject(now, request, NotSentReason.QUOTA)
+            self._reject(now, request, DenialReason.QUOTA)
 
     def _ask_counter(self, now: float, request: PendingRequest) -> None:
         """Hold a request until the counter replies, unless overload would reject it anyway."""
         threshold = self.load_balancer.admission_threshold(request.event.request_class)
         if self.load_balancer.choose(now, request, threshold) is None:
-            self._reject(now, request, NotSentReason.OVERLOAD)
+            self._reject(now, request, DenialReason.OVERLOAD)
             return
         request.customer.unreported_units += request.event.units
         self._actions += self.quota_sync.report_usage(now, request.customer, request)
@@ -152,7 +152,7 @@
         if call.request is not None and call.grant is not None:
             self._admit(now, call.request, call.grant)
         elif call.request is not None:
-            self._reject(now, call.request, NotSentReason.QUOTA)
+            self._reject(now, call.request, DenialReason.QUOTA)
         self._actions += self.quota_sync.report_after_reply(now, call)
 
     def _admit(self, now: float, request: PendingRequest, grant: Grant) -> None:
@@ -168,7 +168,7 @@
         if backend is None:
             if grant is Grant.COUNTER:
                 customer.unreported_units -= units
-            self._reject(now, request, NotSentReason.OVERLOAD)
+            self._reject(now, request, DenialReason.OVERLOAD)
             return
         if customer.plan.ceiling_rate:
             customer.ceiling_tokens -= units
@@ -178,7 +178,7 @@
             self._actions += self.quota_sync.report_usage(now, customer)
         self._send(now, request, backend, SendReason.FIRST)
 
-    def _reject(self, now: float, request: PendingRequest, reason: NotSentReason) -> None:
+    def _reject(self, now: float, request: PendingRequest, reason: DenialReason) -> None:
         """Reject a request, with the time after which its client may retry."""
         no_show_ms = NO_SHOW_MS * self.settings.clients_mark_retries
         wait_ms = request.customer.schedule_return(now, request.event.units, no_show_ms)
@@ -271,7 +271,7 @@
         self, now: float, request: PendingRequest, threshold: float = inf
     ) -> None:
         """Send another attempt if one is permitted; otherwise conclude if none is in flight."""
-        reason = self.retries.not_retried_reason(now, request)
+        reason = self.retries.retry_denial_reason(now, request)
         if reason is None:
             backend = self.load_balancer.choose(now, request, threshold)
             if backend is not None:
@@ -279,12 +279,12 @@
                 send_reason = SendReason.HEDGE if request.in_flight else SendReason.RETRY
                 self._send(now, request, backend, send_reason)
                 return
-            reason = NotSentReason.NO_BACKEND
+            reason = DenialReason.NO_BACKEND
         if request.in_flight:
             return  # one of these attempts may still succeed
         self._reject_or_fail(now, request, reason)
 
-    def _reject_or_fail(self, now: float, request: PendingRequest, reason: NotSentReason) -> None:
+    def _reject_or_fail(self, now: float, request: PendingRequest, reason: DenialReason) -> None:
         """Conclude a request that is not served: reject it if a retry is safe, else fail it."""
         if self.retries.permits_rejection(request):
             self._reject(now, request, reason)
--- a/sumacpost/policy/retries.py
+++ b/sumacpost/policy/retries.py
@@ -3,12 +3,12 @@
 from sumacpost.model import (
     Actions,
     DeduplicationScope,
+    DenialReason,
     Idempotency,
-    NotSentReason,
     SetTimer,
     Settings,
 )
-from sumacpost.policy.attempt_rules import not_repeated_reason
+from sumacpost.policy.attempt_rules import repeat_denial_reason
 from sumacpost.policy.pending_request import PendingRequest
 
 RETRY_RATIO = 0.1  # retry tokens that each request adds to the budget
@@ -26,11 +26,11 @@
         """Add the tokens of one request to the retry budget."""
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_RATIO)
 
-    def not_retried_reason(self, now: float, request: PendingRequest) -> NotSentReason | None:
+    def retry_denial_reason(self, now: float, request: PendingRequest) -> DenialReason | None:
         """Return why no further attempt may be sent now, or None if one may."""
-        reason = not_repeated_reason(now, request, self._settings)
+        reason = repeat_denial_reason(now, request, self._settings)
         if reason is None and self.retry_tokens < 1:
-            return NotSentReason.RETRY_BUDGET
+            return DenialReason.RETRY_BUDGET
         return reason
 
     def permits_rejection(self, request: PendingRequest) -> bool:
--- a/sumacpost/request_recorder.py
+++ b/sumacpost/request_recorder.py
@@ -4,7 +4,7 @@
 
 from sumacpost.clock import Clock
 from sumacpost.diagnostics.event_recorder import EventKind, EventRecorder
-from sumacpost.model import NotSentReason, Outcome, SendReason
+from sumacpost.model import DenialReason, Outcome, SendReason
 from sumacpost.pending_request import ProxiedRequest
 from sumacpost.upstream.attempt import Attempt
 
@@ -77,7 +77,7 @@
         )
 
     def record_attempt_skipped(
-        self, pending: ProxiedRequest, attempt: Attempt, reason: NotSentReason
+        self, pending: ProxiedRequest, attempt: Attempt, reason: DenialReason
     ) -> None:
         """Record that an attempt was not written, because conditions changed after the decision."""
         self._events.record(
--- a/tests/policy/test_attempt_rules.py
+++ b/tests/policy/test_attempt_rules.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from sumacpost.model import NotSentReason, RequestClass, Send
+from sumacpost.model import DenialReason, RequestClass, Send
 from sumacpost.policy.attempt_rules import (
     ARRIVAL_MARGIN_MS,
-    not_repeated_reason,
-    not_written_reason,
+    repeat_denial_reason,
+    write_denial_reason,
 )
 from sumacpost.policy.backend import InFlightAttempt
 from sumacpost.policy.gateway import Gateway
@@ -56,16 +56,16 @@
         (IDEMPOTENT_CLASS, None),
         (KEYED_CELL_CLASS, None),
         (KEYED_ALL_CLASS, None),
-        (NOT_IDEMPOTENT_CLASS, NotSentReason.NOT_REPEATABLE),
+        (NOT_IDEMPOTENT_CLASS, DenialReason.NOT_REPEATABLE),
     ],
 )
 def test_a_request_that_may_have_run_is_repeated_as_its_class_permits(
-    request_class: RequestClass, reason: NotSentReason | None
+    request_class: RequestClass, reason: DenialReason | None
 ) -> None:
     _, pending = sent_request(request_class)
-    assert not_repeated_reason(START_MS + 1, pending, SETTINGS) is None
+    assert repeat_denial_reason(START_MS + 1, pending, SETTINGS) is None
     pending.record_possible_execution(0, START_MS)
-    assert not_repeated_reason(START_MS + 1, pending, SETTINGS) is reason
+    assert repeat_denial_reason(START_MS + 1, pending, SETTINGS) is reason
 
 
 def test_a_keyed_request_is_repeated_only_where_it_arrives_within_the_window() -> None:
@@ -73,8 +73,8 @@
     pending.record_possible_execution(0, START_MS)
     reach_ms = SETTINGS.connect_timeout_ms + ARRIVAL_MARGIN_MS
     last = START_MS + KEYED_CELL_CLASS.deduplication_window_ms - reach_ms
-    assert not_repeated_reason(last - 1, pending, SETTINGS) is None
-    assert not_repeated_reason(last, pending, SETTINGS) is NotSentReason.WINDOW_OVER
+    assert repeat_denial_reason(last - 1, pending, SETTINGS) is None
+    assert repeat_denial_reason(last, pending, SETTINGS) is DenialReason.WINDOW_OVER
 
 
 @pytest.mark.parametrize(
@@ -82,18 +82,18 @@
     [
         (IDEMPOTENT_CLASS, False, None),
         (KEYED_CELL_CLASS, True, None),
-        (KEYED_CELL_CLASS, False, NotSentReason.OUT_OF_SCOPE),
+        (KEYED_CELL_CLASS, False, DenialReason.OUT_OF_SCOPE),
         (KEYED_ALL_CLASS, False, None),
-        (NOT_IDEMPOTENT_CLASS, True, NotSentReason.SECOND_COPY),
+        (NOT_IDEMPOTENT_CLASS, True, DenialReason.SECOND_COPY),
     ],
 )
 def test_a_second_copy_is_written_as_its_class_permits(
-    request_class: RequestClass, same_cell: bool, reason: NotSentReason | None
+    request_class: RequestClass, same_cell: bool, reason: DenialReason | None
 ) -> None:
     subject, pending = sent_request(request_class)
     pending.record_possible_execution(0, START_MS)
     number = add_attempt(subject, pending, same_cell)
-    assert not_written_reason(START_MS + 1, pending, number, True, SETTINGS) is reason
+    assert write_denial_reason(START_MS + 1, pending, number, True, SETTINGS) is reason
 
 
 def test_no_second_copy_is_written_without_hedging() -> None:
@@ -101,8 +101,8 @@
     number = add_attempt(subject, pending, True)
     unhedged = settings(hedging=False)
     assert (
-        not_written_reason(START_MS + 1, pending, number, True, unhedged)
-        is NotSentReason.SECOND_COPY
+        write_denial_reason(START_MS + 1, pending, number, True, unhedged)
+        is DenialReason.SECOND_COPY
     )
 
 
@@ -111,28 +111,28 @@
     pending.record_possible_execution(0, START_MS)
     number = add_attempt(subject, pending, True)
     del pending.in_flight[0]
-    found = not_written_reason(START_MS + 1, pending, number, True, SETTINGS)
-    assert found is NotSentReason.NOT_REPEATABLE
+    found = write_denial_reason(START_MS + 1, pending, number, True, SETTINGS)
+    assert found is DenialReason.NOT_REPEATABLE
 
 
 def test_nothing_is_written_past_the_deadline_or_the_window_or_to_a_backend_that_left() -> None:
     subject, pending = sent_request(KEYED_CELL_CLASS)
-    assert not_written_reason(START_MS + 1, pending, 0, True, SETTINGS) is None
+    assert write_denial_reason(START_MS + 1, pending, 0, True, SETTINGS) is None
     assert (
-        not_written_reason(START_MS + 1, pending, 0, False, SETTINGS)
-        is NotSentReason.BACKEND_NOT_READY
+        write_denial_reason(START_MS + 1, pending, 0, False, SETTINGS)
+        is DenialReason.BACKEND_NOT_READY
     )
     assert (
-        not_written_reason(pending.deadline, pending, 0, True, SETTINGS) is NotSentReason.DEADLINE
+        write_denial_reason(pending.deadline, pending, 0, True, SETTINGS) is DenialReason.DEADLINE
     )
     pending.record_possible_execution(0, START_MS)
     number = add_attempt(subject, pending, True)
     late = START_MS + KEYED_CELL_CLASS.deduplication_window_ms - ARRIVAL_MARGIN_MS
-    assert not_written_reason(late, pending, number, True, SETTINGS) is NotSentReason.WINDOW_OVER
+    assert write_denial_reason(late, pending, number, True, SETTINGS) is DenialReason.WINDOW_OVER
 
 
 def test_a_concluded_request_is_not_written() -> None:
     subject, _pending = sent_request(IDEMPOTENT_CLASS)
-    assert subject.not_written_reason(START_MS + 1, 1, 0) is None
+    assert subject.write_denial_reason(START_MS + 1, 1, 0) is None
     subject.pending.clear()
-    assert subject.not_written_reason(START_MS + 1, 1, 0) is NotSentReason.CONCLUDED
+    assert subject.write_denial_reason(START_MS + 1, 1, 0) is DenialReason.CONCLUDED
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -307,7 +307,7 @@
     ]
     to_cold = [send for send in sends if send.backend == FIRST_COLD]
     for send in to_cold:
-        assert g.not_written_reason(now + 1500, send.request, 0) is None
+        assert g.write_denial_reason(now + 1500, send.request, 0) is None
     backend = g.endpoints.backends[FIRST_COLD]
     assert backend.recent_work.total(now + 1400) > 0
     assert backend.recent_work.total(now + 1600) == 0
