--- a/sumacpost/server/drain.py
+++ b/sumacpost/server/drain.py
@@ -48,9 +48,10 @@
         self._record_phase("connections_ended")
 
     async def _accept_until_quiet(self) -> None:
-        """Wait until no more connections are expected and the kernel's queue is empty.
+        """Keep accepting until no more connections are expected and the kernel's queue is empty.
 
-        If the queue can't be emptied, for example at the connection limit, return when all
+        Stop after max_accept_ms if connections keep arriving, but not before the queue is empty. If
+        the queue can't be emptied, for example because of the connection limit, return when all
         responses are due.
         """
         schedule = self.schedule
--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -256,9 +256,11 @@
 
 @each_way_to_leave
 @either_order
-@pytest.mark.parametrize("behind", [b"", slow_request(number=501), slow_request(number=501)[:40]])
+@pytest.mark.parametrize(
+    "following_input", [b"", slow_request(number=501), slow_request(number=501)[:40]]
+)
 def test_buffered_request_is_not_forwarded_if_its_client_leaves_as_a_response_goes_out(
-    how: str, client_first: bool, behind: bytes
+    how: str, client_first: bool, following_input: bytes
 ) -> None:
     """Further unread input of the client may hide the end of its connection."""
 
@@ -272,7 +274,7 @@
             client.write(slow_request("vat-filing"))
             await until(lambda: any(c._buffered_input for c in server.connections.open))
             (first,) = attempted_backends(ingress, 100)
-            client.write(behind)
+            client.write(following_input)
             disconnect_during(
                 lambda: write_immediately(first.writers[-1], OK_RESPONSE), client, how, client_first
             )
@@ -283,18 +285,20 @@
 
 
 @each_way_to_leave
-@pytest.mark.parametrize("where", ["unread", "in the listen queue"])
-@pytest.mark.parametrize("behind", [b"", slow_request(number=501), slow_request(number=501)[:40]])
+@pytest.mark.parametrize("request_location", ["unread", "in the listen queue"])
+@pytest.mark.parametrize(
+    "following_input", [b"", slow_request(number=501), slow_request(number=501)[:40]]
+)
 def test_request_unread_when_its_client_left_is_not_forwarded(
-    how: str, where: str, behind: bytes
+    how: str, request_location: str, following_input: bytes
 ) -> None:
     async def test() -> None:
         async with ingress_with_idle_connections() as ingress:
-            client = BlockingClient(ingress.address) if where == "unread" else None
+            client = BlockingClient(ingress.address) if request_location == "unread" else None
             if client is not None:
                 await until(lambda: len(ingress.server.connections.open) == 3)
             client = client or BlockingClient(ingress.address)
-            client.write(slow_request() + behind)
+            client.write(slow_request() + following_input)
             disconnect_during(lambda: None, client, how, True)
             await until(
                 lambda: (
--- a/tests/server/test_connection_limits.py
+++ b/tests/server/test_connection_limits.py
@@ -67,8 +67,8 @@
 def test_connections_without_a_complete_request_do_not_keep_others_out() -> None:
     """Connections without a complete request must not use up the connection limit.
 
-    With 64 descriptors there are eight places for clients; 40 clients send nothing or only part of
-    a request.
+    With 64 descriptors the limit is eight client connections; 40 clients send nothing or only part
+    of a request.
     """
 
     async def test() -> None:
@@ -89,7 +89,7 @@
 def test_idle_connections_take_only_part_of_the_capacity() -> None:
     """Idle connections of clients that had sent one request once used up the whole capacity.
 
-    With 80 descriptors there are 16 places for clients, of which four may be idle. A client that
+    With 80 descriptors the limit is 16 client connections, of which four may be idle. A client that
     keeps sending requests stays connected, as its connection is never the longest idle.
     """
 
@@ -114,7 +114,7 @@
 def test_clients_beyond_the_limit_wait_for_capacity() -> None:
     """Idle connections are evicted for new ones, and connections with pending requests are not.
 
-    With 64 descriptors there are eight places for clients.
+    With 64 descriptors the limit is eight client connections.
     """
 
     async def test() -> None:
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -120,7 +120,7 @@
 def test_connection_in_the_listen_queue_is_accepted_before_the_listener_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The listener was once closed while all eight places were taken.
+    """The listener was once closed while eight connections, the limit, were open.
 
     That reset the ninth connection, which was in the listen queue.
     """
--- a/tests/support/ingress.py
+++ b/tests/support/ingress.py
@@ -156,7 +156,7 @@
 
 
 async def connect_beyond_bound(ingress: RunningIngress) -> Client:
-    """Use all eight places of an ingress with 64 sockets, each by a pending request.
+    """Open the eight connections that an ingress with 64 sockets permits, each with a request.
 
     Return a further client that has sent a request and is waiting in the listen queue.
     """
