--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""Many gateways before one fleet of simulated backends, some of them cold, in virtual time."""
+"""A simulation, in virtual time, of many gateways and a fleet with some cold backends."""
 
 from __future__ import annotations
 
@@ -39,22 +39,24 @@
     RequestClass(1200, 4000, 3, Idempotency.IDEMPOTENT),
     RequestClass(1800, 4000, 5, Idempotency.IDEMPOTENT),
 )
-WORK_SHAPE = 2.0  # of the gamma distribution of work: a little more even than exponential
-NETWORK_MS = 1.0  # one way
-REPORT_ERROR = 0.1  # by which a load report may be wrong
+# Shape of the gamma distribution of work, which varies a little less than an exponential one.
+WORK_SHAPE = 2.0
+NETWORK_MS = 1.0  # mean one-way latency
+REPORT_ERROR = 0.1  # largest relative error of the throughput in a load report
 REPORT_FIELDS = ("backlog", "throughput", "utilization")
 QUEUE_PER_CORE = 20
-MAX_EVENTS = 300_000  # far more than any simulation here has
+MAX_EVENTS = 300_000  # far more than any of the tests needs
 
 
 class FleetSimulation:
-    """Events stand in one heap, and all draws are seeded.
+    """A simulation with one event queue, a heap, and one seeded random generator.
 
-    Every other cold backend is new; the rest were drained and come back under their old names.
-    Each gateway learns of the start after a delay of its own, three in ten of them after a second
-    or more. Clients send whether or not they are answered, to some gateways several times as much
-    as to others. `hide_start` and other settings show gateways another world than the simulated
-    one.
+    Every other cold backend is new; the rest were drained and return under their old names. Each
+    gateway is notified of the start after its own delay, the late ones (three in ten unless the
+    scenario says otherwise) after a second or more. Clients send at a rate that doesn't depend on
+    responses, and to some gateways several times as much as to others. With `hide_start` the
+    endpoint list doesn't show the start of cold backends; `shown_settings` replace settings of the
+    gateways, but not of the simulated backends.
     """
 
     def __init__(
@@ -68,7 +70,7 @@
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.event_order = count()
         self.request_numbers = count(1)
-        self.notified_at = [inf] * scenario.gateways  # of the start
+        self.notified_at = [inf] * scenario.gateways  # time at which each knows of the start
         self.pending: dict[int, SimulatedRequest] = {}
         self.requests_sent = 0
         self.requests_served = 0
@@ -99,21 +101,21 @@
         self._schedule(START_MS, self._arrive)
 
     def run(self) -> FleetSimulation:
-        """Run until the cold backends are warm."""
+        """Run until the cold backends are warm, and return the simulation."""
         for _ in range(MAX_EVENTS):
             self.now, _, action, args = heappop(self.heap)
             if self.now >= self.end:
                 return self
             action(*args)
-        raise AssertionError("a simulation without an end")
+        raise AssertionError(f"simulation did not end within {MAX_EVENTS} events")
 
     def peak_window_load(
         self, weight: Callable[[SimulatedRequest], float] = lambda request: request.expected_work
     ) -> float:
-        """Return the fullest window of all cold backends, relative to what is allowed.
+        """Return the highest load of a cold backend in any window, relative to the allowed load.
 
-        A request weighs what its class and units let expect. The actual work is not counted: nobody
-        can know it before, and one large request may exceed all that is allowed.
+        By default a request counts with its expected work, from its class and units. Its actual
+        work is unknown when it is sent, and a single large request may exceed the allowed load.
         """
         return max(backend.peak_window_load(weight) for backend in self.cold)
 
@@ -139,12 +141,12 @@
     def _schedule_lists(
         self, *, warm: list[int], new: list[int], returning: list[int], up_since: float
     ) -> None:
-        """Schedule what each gateway learns of the endpoint list, and when."""
+        """Schedule the endpoint list updates of each gateway."""
         first = EndpointListUpdate(UpdateKind.FULL, [Endpoint(n) for n in [*warm, *returning]])
-        drained = EndpointListUpdate(
+        draining = EndpointListUpdate(
             UpdateKind.CHANGES, [Endpoint(n, EndpointStatus.DRAINING) for n in returning]
         )
-        gone = EndpointListUpdate(
+        removed = EndpointListUpdate(
             UpdateKind.CHANGES, [Endpoint(n, EndpointStatus.GONE) for n in returning]
         )
         started = [Endpoint(n, up_since_ms=up_since) for n in [*new, *returning]]
@@ -155,8 +157,8 @@
             self._schedule(START_MS, self._handle, index, first)
             late = self.random.random() < self.scenario.late_fraction
             if not (late and self.scenario.late_gateways_assume_warm):
-                self._schedule(START_MS + learning_ms * 0.5, self._handle, index, drained)
-                self._schedule(START_MS + learning_ms * 0.9, self._handle, index, gone)
+                self._schedule(START_MS + learning_ms * 0.5, self._handle, index, draining)
+                self._schedule(START_MS + learning_ms * 0.9, self._handle, index, removed)
             delay = self.random.uniform(1000, 2500) if late else self.random.uniform(50, 600)
             self.notified_at[index] = self.cold_start_at + delay
             started_list = full if index % 2 else changes
@@ -166,7 +168,7 @@
         heappush(self.heap, (when, next(self.event_order), action, args))
 
     def _arrive(self) -> None:
-        """Let a client send to one of the gateways, and draw the next client."""
+        """Send a request to a random gateway, and schedule the next request."""
         self._schedule(self.now + self.random.expovariate(1 / self.mean_gap_ms), self._arrive)
         number = next(self.request_numbers)
         class_index = self.random.randrange(len(CLASSES))
@@ -189,7 +191,7 @@
         )
 
     def _handle(self, gateway: int, event: Event) -> None:
-        """Hand an event to a gateway and carry out its actions."""
+        """Pass an event to a gateway and carry out its actions."""
         for action in self.gateways[gateway].handle(self.now, event):
             match action:
                 case Send(number, backend):
@@ -205,10 +207,10 @@
                 case Reject(number) | Fail(number):
                     del self.pending[number]
                 case _:
-                    raise AssertionError(f"not allowed by these settings: {action}")
+                    raise AssertionError(f"action not allowed by the settings: {action}")
 
     def _receive(self, backend: SimulatedBackend, request: SimulatedRequest) -> None:
-        """Let an attempt arrive; it counts whether or not it is admitted."""
+        """Receive an attempt at a backend; it counts as load even if the backend rejects it."""
         backend.arrivals.append((self.now, request))
         if backend.busy_cores < self.scenario.cores or not self.scenario.queues:
             self._begin_work(backend, request)
@@ -232,7 +234,7 @@
     def _respond(
         self, backend: SimulatedBackend, request: SimulatedRequest, outcome: Outcome
     ) -> None:
-        """Send a response with a load report, unless the client has given up."""
+        """Respond with a load report, unless the request has timed out."""
         if request.number in self.pending:
             self.requests_served += outcome is Outcome.OK
             error_factor = self.random.uniform(1 - REPORT_ERROR, 1 + REPORT_ERROR)
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -1,4 +1,4 @@
-"""The five rules of the decision module as seen from outside one gateway."""
+"""A checker of the five rules of the policy, from the events and actions of one gateway."""
 
 from __future__ import annotations
 
@@ -29,26 +29,26 @@
 
 
 class RuleViolationError(AssertionError):
-    """What was broken and where."""
+    """An action broke a rule; the message names the request or customer and the rule."""
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a request."""
+    """An attempt of a request."""
 
     sent_at: float
     backend: int
-    outcome: Outcome | None = None  # None while it is in flight
+    outcome: Outcome | None = None  # None while the attempt is in flight
 
     @property
     def possibly_executed(self) -> bool:
-        """Whether the request may have had its effect."""
+        """Whether the attempt may have run the request."""
         return self.outcome is None or not self.outcome.never_ran
 
 
 @dataclass(slots=True)
 class TrackedRequest:
-    """A request as the outside knows it."""
+    """A request as its client and the backends see it."""
 
     event: RequestArrived
     request_class: RequestClass
@@ -57,15 +57,18 @@
     concluded: bool = False
 
     @property
-    def possibly_executed(self) -> list[Attempt]:
-        """The attempts that may have had the effect."""
+    def possibly_executed_attempts(self) -> list[Attempt]:
+        """The attempts that may have run the request."""
         return [attempt for attempt in self.attempts if attempt.possibly_executed]
 
     @property
     def may_be_rejected(self) -> bool:
-        """Whether a client may be told to repeat the request."""
+        """Whether the client may be told to retry the request."""
         request_class = self.request_class
-        if not self.possibly_executed or request_class.idempotency is Idempotency.IDEMPOTENT:
+        if (
+            not self.possibly_executed_attempts
+            or request_class.idempotency is Idempotency.IDEMPOTENT
+        ):
             return True
         return (
             request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
@@ -74,20 +77,20 @@
 
 
 class RuleChecker:
-    """Feeds one gateway, and raises RuleViolationError as soon as an action breaks a rule."""
+    """Passes events to one gateway and raises RuleViolationError if an action breaks a rule."""
 
     def __init__(self, handle: Handler, settings: Settings) -> None:
         self.handle = handle
         self.settings = settings
         self.requests: dict[int, TrackedRequest] = {}
-        self.draining_since: dict[int, float] = {}  # draining or gone backends
-        self.locations: dict[int, tuple[int, int]] = {}  # zone and cell of each backend ever listed
-        self.ceiling_balances: dict[
-            int, tuple[float, float]
-        ] = {}  # by customer: when, and what was left
+        self.draining_since: dict[int, float] = {}  # time, by draining or removed backend
+        # zone and cell of each backend that has ever been listed
+        self.locations: dict[int, tuple[int, int]] = {}
+        # time of the last check and units left then, by customer
+        self.ceiling_balances: dict[int, tuple[float, float]] = {}
 
     def feed(self, now: float, event: Event) -> list[Action]:
-        """Hand an event to the gateway and return its actions, once they are checked."""
+        """Pass an event to the gateway, check its actions and return them."""
         self._observe(now, event)
         actions = self.handle(now, event)
         for action in actions:
@@ -95,12 +98,12 @@
         return actions
 
     def finish(self) -> None:
-        """Check that every request has had its final response."""
+        """Check that every request has its final response."""
         for number, request in self.requests.items():
-            self._require(request.concluded, f"request {number}: never answered")
+            self._require(request.concluded, f"request {number}: no final response")
 
-    def _require(self, kept: bool, message: str) -> None:
-        if not kept:
+    def _require(self, condition: bool, message: str) -> None:
+        if not condition:
             raise RuleViolationError(message)
 
     def _observe(self, now: float, event: Event) -> None:
@@ -138,58 +141,59 @@
         if isinstance(action, Cancel):
             return
         name = f"request {action.request}"
-        self._require(not request.concluded, f"{name}: {action} after its end")
+        self._require(not request.concluded, f"{name}: {action} after the final response")
         if isinstance(action, Send):
             self._check_attempt(now, action, request)
             return
-        latest = request.deadline + self.settings.response_grace_ms
-        self._require(now <= latest, f"{name}: answered too late")
+        response_due_at = request.deadline + self.settings.response_grace_ms
+        self._require(now <= response_due_at, f"{name}: final response after the deadline")
         if isinstance(action, Reject):
-            self._require(
-                request.may_be_rejected, f"{name}: rejected though it may have been executed"
-            )
+            self._require(request.may_be_rejected, f"{name}: rejected although it may have run")
         request.concluded = True
 
     def _check_attempt(self, now: float, send: Send, request: TrackedRequest) -> None:
         name = f"request {send.request}"
         in_flight = any(attempt.outcome is None for attempt in request.attempts)
-        self._require(not in_flight or self.settings.hedging, f"{name}: two attempts at once")
+        self._require(
+            not in_flight or self.settings.hedging,
+            f"{name}: two attempts in flight without hedging",
+        )
         count = len(request.attempts)
         self._require(count < self.settings.max_attempts, f"{name}: too many attempts")
-        self._require(send.backend in self.locations, f"{name}: to an unknown backend")
+        self._require(send.backend in self.locations, f"{name}: sent to an unknown backend")
         since = self.draining_since.get(send.backend)
         self._require(
             since is None or now <= since + self.settings.drain_grace_ms,
-            f"{name}: to a draining backend",
+            f"{name}: sent to a draining or removed backend",
         )
-        if request.possibly_executed:
+        if request.possibly_executed_attempts:
             self._check_repeat(now, send, request)
         if not request.attempts:
             self._check_ceiling(now, request.event)
         request.attempts.append(Attempt(now, send.backend))
 
     def _check_repeat(self, now: float, send: Send, request: TrackedRequest) -> None:
-        """Check an attempt beside or after one that may have had the effect."""
+        """Check an attempt that is sent while or after another one may have run."""
         name = f"request {send.request}"
         request_class = request.request_class
         self._require(
             request_class.idempotency is not Idempotency.NOT_IDEMPOTENT,
-            f"{name}: not idempotent, sent again though it may have been executed",
+            f"{name}: not idempotent, but sent again although it may have run",
         )
         if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
-            first = request.possibly_executed[0]
+            first = request.possibly_executed_attempts[0]
             self._require(
                 now < first.sent_at + request_class.deduplication_window_ms,
-                f"{name}: past the window of its key",
+                f"{name}: sent again after the deduplication window",
             )
             self._require(
                 self._scope(send.backend, request_class)
                 == self._scope(first.backend, request_class),
-                f"{name}: outside the scope of its key",
+                f"{name}: sent again outside the deduplication scope",
             )
 
     def _scope(self, backend: int, request_class: RequestClass) -> int:
-        """Return the number of the zone or cell in which the backend recognizes keys."""
+        """Return the zone or cell of the backend's deduplication group, or 0 for all backends."""
         zone, cell = self.locations[backend]
         match request_class.deduplication_scope:
             case DeduplicationScope.ALL:
@@ -202,14 +206,16 @@
     def _check_ceiling(self, now: float, event: RequestArrived) -> None:
         """Take a request's units from this gateway's part of its customer's ceiling.
 
-        That is kept here, so that a restarted gateway finds it as it stands.
+        The checker keeps the balance across restarts of the gateway.
         """
         plan = self.settings.plans[event.plan]
         if not plan.ceiling_rate:
             return
         capacity = plan.ceiling_burst / event.gateway_spread
-        checked_at, left = self.ceiling_balances.get(event.customer, (now, capacity))
+        checked_at, units_left = self.ceiling_balances.get(event.customer, (now, capacity))
         refill = (now - checked_at) / 1000 * plan.ceiling_rate / event.gateway_spread
-        left = min(capacity, left + refill) - event.units
-        self._require(left >= -1e-6, f"customer {event.customer}: ceiling passed by {-left}")
-        self.ceiling_balances[event.customer] = now, left
+        units_left = min(capacity, units_left + refill) - event.units
+        self._require(
+            units_left >= -1e-6, f"customer {event.customer}: ceiling exceeded by {-units_left}"
+        )
+        self.ceiling_balances[event.customer] = now, units_left
--- a/tests/support/simulated_backend.py
+++ b/tests/support/simulated_backend.py
@@ -11,86 +11,124 @@
 
 from tests.support.builders import START_MS
 
-UNIT_MS = (60.0, 108.0)  # what a unit of each class takes on average, on a warm core of speed 1
-LARGE_UNITS = 8.0  # of a large request; the others have one unit
-LARGE_FRACTION = 0.12  # of the requests
-MEAN_MS = sum(UNIT_MS) / 2 * (1 + LARGE_FRACTION * (LARGE_UNITS - 1))
-SMALL_WINDOW_REQUESTS = 30.0  # below which the rule on slow start allows more
-REPORT_INTERVAL_MS = 400.0  # over which a load report is measured, at least
+UNIT_MS = (60.0, 108.0)  # mean time of a unit of each class on a warm core of speed 1
+LARGE_UNITS = 8.0  # units of a large request; other requests have one unit
+LARGE_FRACTION = 0.12  # fraction of large requests
+MEAN_MS = sum(UNIT_MS) / 2 * (1 + LARGE_FRACTION * (LARGE_UNITS - 1))  # mean time of a request
+SMALL_WINDOW_REQUESTS = 30.0  # for fewer requests, the rule on slow start allows more
+REPORT_INTERVAL_MS = 400.0  # shortest interval that a load report covers
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A fleet of which some backends are cold from the end of the warm-up on."""
+    """The parameters of a fleet, some of whose backends start cold at the end of `learning_ms`.
+
+    Attributes:
+        gateways: the number of gateways.
+        backends: the number of backends.
+        cold: how many of the backends start cold.
+        load: the rate of requests, as a fraction of the capacity of the warm backends.
+        learning_ms: time before the cold start, in which gateways learn the capacity of backends.
+        initial_capacity: see Settings, as for the next three.
+        slow_start_ms: see Settings.
+        overload_factor: see Settings.
+        overload_window_ms: see Settings.
+        cores: the number of cores of a backend.
+        late_fraction: the fraction of gateways that are notified of the start a second or more
+            after it.
+        late_gateways_assume_warm: whether the late gateways are not notified of the drain before it
+            either, so that until then they assume that the backend is warm.
+        reports: whether responses have load reports.
+        queues: whether backends have queues; otherwise they process all requests in parallel.
+    """
 
     gateways: int
     backends: int
     cold: int
-    load: float  # arrivals, as a fraction of what the warm backends can do
-    learning_ms: float = 5000.0  # in which gateways learn what backends can do
+    load: float
+    learning_ms: float = 5000.0
     initial_capacity: float = 0.1
     slow_start_ms: float = 12_000.0
     overload_factor: float = 2.0
     overload_window_ms: float = 3000.0
     cores: int = 3
-    late_fraction: float = (
-        0.3  # the part of the gateways that learn of the start a second or more after it
-    )
-    # whether those learn of nothing before it either: they take the backend for warm until then
+    late_fraction: float = 0.3
     late_gateways_assume_warm: bool = False
-    reports: bool = True  # whether responses have load reports
-    queues: bool = True  # else a backend works on all requests side by side
+    reports: bool = True
+    queues: bool = True
 
 
 @dataclass
 class SimulatedRequest:
-    """A client's request."""
+    """A client's request. Work is in requests of mean work.
+
+    Attributes:
+        number: the number of the request.
+        gateway: the index of the gateway that gets it.
+        expected_work: the expected work by its class and units, which gateways know.
+        actual_work: the random work that a backend has with it.
+        attempts: the number of attempts sent.
+        backend: the backend of the latest attempt.
+        sent_at: the time at which the latest attempt was sent.
+        notified: whether the gateway knew of the cold start at that time.
+    """
 
     number: int
     gateway: int
-    expected_work: (
-        float  # expected of its class and units, in requests of mean work: what gateways know
-    )
-    actual_work: float  # what it turns out to be
+    expected_work: float
+    actual_work: float
     attempts: int = 0
-    backend: int = 0  # of the attempt in flight
-    sent_at: float = 0.0  # of the attempt in flight
-    notified: bool = False  # whether its gateway knew then that the cold backends had started
+    backend: int = 0
+    sent_at: float = 0.0
+    notified: bool = False
 
 
 @dataclass
 class SimulatedBackend:
-    """A backend with a queue; its capacity rises evenly from the cold fraction to 1."""
+    """A backend with a queue. After a cold start its capacity rises linearly to the full one.
+
+    Attributes:
+        name: the number of the backend.
+        scenario: the parameters of the fleet.
+        speed: the speed of a core, relative to the mean.
+        up_since: when the backend started; 0: long ago.
+        busy_cores: the number of cores at work.
+        queue: the requests that wait for a core.
+        arrivals: the attempts received since the last start, with their times.
+        requests_served: requests served since the last load report.
+        busy_ms: busy time of all cores since the last load report, up to busy_ms_until.
+        busy_ms_until: the time up to which busy_ms is counted.
+        measured_at: the time of the last load report.
+        report: the last load report.
+    """
 
     name: int
     scenario: Scenario
     speed: float
-    up_since: float = 0.0  # 0: long ago
+    up_since: float = 0.0
     busy_cores: int = 0
     queue: deque[SimulatedRequest] = field(default_factory=deque)
-    arrivals: list[tuple[float, SimulatedRequest]] = field(
-        default_factory=list
-    )  # since its last start
-    requests_served: int = 0  # since the last load report
-    busy_ms: float = 0.0  # of all cores since the last load report, up to `busy_until`
-    busy_until: float = START_MS
+    arrivals: list[tuple[float, SimulatedRequest]] = field(default_factory=list)
+    requests_served: int = 0
+    busy_ms: float = 0.0
+    busy_ms_until: float = START_MS
     measured_at: float = START_MS
     report: tuple[float, ...] = (0.0, 0.0, 0.0)
 
     def capacity(self, now: float) -> float:
-        """Return what it can do now, as a fraction of its warm capacity."""
+        """Return the present capacity, as a fraction of the warm capacity."""
         if not self.up_since:
             return 1.0
         initial = self.scenario.initial_capacity
-        age = min(1.0, max(0.0, (now - self.up_since) / self.scenario.slow_start_ms))
-        return initial + (1 - initial) * age
+        progress = min(1.0, max(0.0, (now - self.up_since) / self.scenario.slow_start_ms))
+        return initial + (1 - initial) * progress
 
     def throughput(self, now: float) -> float:
-        """Return how many requests of mean work it can do in a millisecond."""
+        """Return the capacity in requests of mean work per ms."""
         return self.scenario.cores * self.speed * self.capacity(now) / MEAN_MS
 
     def start(self, now: float) -> None:
-        """Start the process again: it is cold, and knows nothing of what it did."""
+        """Restart the backend: it is cold, and its measurements start from zero."""
         self.change_busy_cores(now, 0)
         self.up_since = now
         self.measured_at = now
@@ -99,14 +137,17 @@
         self.report = (0.0, 0.0, 0.0)
         self.arrivals.clear()
 
-    def change_busy_cores(self, now: float, more_cores: int) -> None:
-        """Let so many cores more be at work from now on."""
-        self.busy_ms += self.busy_cores * (now - self.busy_until)
-        self.busy_until = now
-        self.busy_cores += more_cores
+    def change_busy_cores(self, now: float, added_cores: int) -> None:
+        """Account for the busy time so far, and change the number of busy cores."""
+        self.busy_ms += self.busy_cores * (now - self.busy_ms_until)
+        self.busy_ms_until = now
+        self.busy_cores += added_cores
 
     def load_report(self, now: float, error_factor: float) -> tuple[float, ...]:
-        """Return backlog, throughput and utilization, some time old and not exact."""
+        """Return backlog, throughput and utilization, updated at most once in REPORT_INTERVAL_MS.
+
+        error_factor: the relative error of the throughput.
+        """
         self.change_busy_cores(now, 0)
         elapsed = now - self.measured_at
         if elapsed >= REPORT_INTERVAL_MS:
@@ -121,48 +162,51 @@
     def allowed_requests(self, now: float) -> float:
         """Return how many requests of mean work all gateways may send in a window from now on.
 
-        That is the overload factor times what it can do, and what chance may add.
+        It is the overload factor times the capacity, plus an allowance for random variation.
         """
         throughput = self.throughput(max(now, self.up_since))
         expected = self.scenario.overload_factor * throughput * self.scenario.overload_window_ms
         return expected + 2 * sqrt(expected) + 2
 
     def peak_window_load(self, weight: Callable[[SimulatedRequest], float]) -> float:
-        """Return the most that arrived in any window begun while cold, relative to `allowed`.
+        """Return the highest load in any window that starts while the backend is cold.
 
-        The worst window for what it holds ends with an arrival: begun earlier, it allows less.
+        The load is relative to allowed_requests. Of the windows with the same arrivals, the one
+        that ends with the last of them is the worst: it starts earliest, so it allows least.
         """
         times = [arrived_at for arrived_at, _ in self.arrivals]
         sums = [0.0, *accumulate(weight(request) for _, request in self.arrivals)]
         warm_at = self.up_since + self.scenario.slow_start_ms
-        fullest = 0.0
+        peak_load = 0.0
         for last, arrived_at in enumerate(times):
-            begin = arrived_at - self.scenario.overload_window_ms
-            if begin < warm_at:
-                in_window = sums[last + 1] - sums[bisect_left(times, begin)]
-                fullest = max(fullest, in_window / self.allowed_requests(begin))
-        return fullest
+            window_start = arrived_at - self.scenario.overload_window_ms
+            if window_start < warm_at:
+                in_window = sums[last + 1] - sums[bisect_left(times, window_start)]
+                peak_load = max(peak_load, in_window / self.allowed_requests(window_start))
+        return peak_load
 
     def peak_notified_window_load(self) -> float:
-        """Return the most that gateways sent that knew of the start, relative to what it bears.
+        """Return the highest load from gateways that knew of the start, in any such window.
 
-        In any window begun while cold, in requests of mean work; by the rule on slow start.
+        The load is relative to the overload threshold of the rule on slow start.
         """
         notified = [
-            (at, request.expected_work) for at, request in self.arrivals if request.notified
+            (received_at, request.expected_work)
+            for received_at, request in self.arrivals
+            if request.notified
         ]
         sums = [0.0, *accumulate(expected_work for _, expected_work in notified)]
-        times = [at for at, _ in notified]
-        fullest = 0.0
+        times = [received_at for received_at, _ in notified]
+        peak_load = 0.0
         for last, arrived_at in enumerate(times):
-            begin = max(self.up_since, arrived_at - self.scenario.overload_window_ms)
-            if begin < self.up_since + self.scenario.slow_start_ms:
-                in_window = sums[last + 1] - sums[bisect_left(times, begin)]
-                fullest = max(fullest, in_window / self._overload_threshold(begin))
-        return fullest
+            window_start = max(self.up_since, arrived_at - self.scenario.overload_window_ms)
+            if window_start < self.up_since + self.scenario.slow_start_ms:
+                in_window = sums[last + 1] - sums[bisect_left(times, window_start)]
+                peak_load = max(peak_load, in_window / self._overload_threshold(window_start))
+        return peak_load
 
     def _overload_threshold(self, now: float) -> float:
-        """Return the requests of mean work beyond which it falls in a window that begins now."""
+        """Return the requests of mean work above which it fails in a window from now on."""
         per_ms = self.throughput(now)
         expected = self.scenario.overload_factor * per_ms * self.scenario.overload_window_ms
         if expected < SMALL_WINDOW_REQUESTS:
@@ -170,7 +214,7 @@
         return expected + 2 * sqrt(expected) + 2
 
     def utilization(self, end: float) -> float:
-        """Return the work that arrived since its start, relative to what it could do by then."""
+        """Return the work received since the start, relative to the capacity until `end`."""
         mean_throughput = (self.throughput(self.up_since) + self.throughput(end)) / 2
         capacity = mean_throughput * (end - self.up_since)
         return sum(request.expected_work for _, request in self.arrivals) / capacity
