--- a/fleetlab/soak/client.py
+++ b/fleetlab/soak/client.py
@@ -12,7 +12,8 @@
 from fleetlab.soak.records import ClientRequest, Effect
 from fleetlab.stand_in import reset_connection, split_address
 
-MAX_LATENESS_S = 0.5  # a response that is later than this after its deadline counts as lost
+# A response up to this long after its deadline only earns nothing; a later one counts as lost.
+MAX_LATENESS_S = 0.5
 EXTRA_WAIT_S = 3.0  # further wait for a lost response: the time of its arrival shows the cause
 CONNECT_TIMEOUT_S = 2.0
 MAX_EXTRA_BYTES = 4096
--- a/fleetlab/soak/population.py
+++ b/fleetlab/soak/population.py
@@ -21,8 +21,8 @@
 RAMP_S = 1.5  # time over which the clients start
 MAX_PIPELINED = 4  # most requests that an occasional pipelining client sends at once
 PIPELINE_DEPTH = 6  # requests in flight on the connection of a continuously pipelining client
-BAD_CLIENT_DEADLINE_S = 3.0
-BAD_CLIENT_WAIT_S = 4.0
+BAD_CLIENT_DEADLINE_S = 3.0  # time within which a bad client has to get an error or a close
+BAD_CLIENT_WAIT_S = 4.0  # time for which a bad client waits for it
 
 
 @dataclass(frozen=True, slots=True)
--- a/fleetlab/soak/stress_plans.py
+++ b/fleetlab/soak/stress_plans.py
@@ -26,7 +26,8 @@
 WAVES = 2  # number of waves of hanging backends, each with restarts of half of the ingresses
 WAVE_DURATION_S = 5.0
 DISTURBED_INGRESS_SHARE = 0.25  # fraction of ingresses that may be restarted, paused or reloaded
-PAUSE_DEADLINES_S = (0.3, 0.6)  # choices for the longest deadline; many pauses outlast one
+# Choices for the longest deadline, short so that a pause often extends past a deadline.
+PAUSE_DEADLINES_S = (0.3, 0.6)
 PAUSE_INTERVAL_S = 0.6  # mean time between two pauses of an ingress
 
 
--- a/fleetlab/system_faults/control.py
+++ b/fleetlab/system_faults/control.py
@@ -17,8 +17,8 @@
     SOCKET = 1  # ENFILE, EMFILE, ENOBUFS or ENOMEM
     CONNECT = 2  # EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ENOBUFS, ETIMEDOUT, EAGAIN or EINTR
     WAIT_INTERRUPTED = 3  # a wait for events fails with EINTR
-    SHORT_READ = 4  # at most 64 bytes
-    SHORT_WRITE = 5  # at most 64 bytes
+    SHORT_READ = 4  # a read returns at most 64 bytes
+    SHORT_WRITE = 5  # a write takes at most 64 bytes
     BROKEN_CONNECTION = 6  # an outgoing connection fails: ETIMEDOUT, EHOSTUNREACH, ECONNRESET, ...
     LOG_WRITE = 7  # writes to standard error fail: ENOSPC, EIO, EPIPE or EAGAIN
 
--- a/fleetlab/system_faults/system_faults.c
+++ b/fleetlab/system_faults/system_faults.c
@@ -43,7 +43,7 @@
 static struct control no_faults;
 static struct control *control = &no_faults;
 static uint64_t random_state = 88172645463325252u;
-static char outgoing[MAX_DESCRIPTORS]; /* by descriptor: whether the process opened this connection */
+static char outgoing[MAX_DESCRIPTORS]; /* whether the process opened the connection */
 
 #define REAL(name) \
     ({ \
