--- a/tests/policy/test_attempt_rules.py
+++ b/tests/policy/test_attempt_rules.py
@@ -1,4 +1,4 @@
-"""What may be repeated, and what may be written, for each effect of a class."""
+"""Which attempts may be repeated and written, for each kind of idempotency."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def sent_request(request_class: RequestClass) -> tuple[Gateway, PendingRequest]:
-    """Return a gateway, and a request of which one attempt is in flight."""
+    """Return a gateway and a request with one attempt in flight."""
     subject = gateway(classes=(request_class,), hedging=True)
     only_action(Send, subject.handle(START_MS, request_arrived(1, time_left_ms=6000.0)))
     (pending,) = subject.pending.values()
@@ -37,7 +37,7 @@
 
 
 def add_attempt(subject: Gateway, pending: PendingRequest, same_cell: bool) -> int:
-    """Note a second attempt, at another backend of the same or another cell; return its number."""
+    """Add a second attempt, at another backend of the same or another cell; return its number."""
     first = pending.attempted_backends[0].endpoint
     pending.attempted_backends.append(
         next(
@@ -68,7 +68,7 @@
     assert repeat_denial_reason(START_MS + 1, pending, SETTINGS) is reason
 
 
-def test_a_keyed_request_is_repeated_only_where_it_arrives_within_the_window() -> None:
+def test_a_keyed_request_is_repeated_only_if_it_arrives_within_the_window() -> None:
     _, pending = sent_request(KEYED_CELL_CLASS)
     pending.record_possible_execution(0, START_MS)
     reach_ms = SETTINGS.connect_timeout_ms + ARRIVAL_MARGIN_MS
@@ -106,7 +106,7 @@
     )
 
 
-def test_an_unsafe_request_that_may_have_run_is_not_written_again() -> None:
+def test_a_request_that_is_not_idempotent_and_may_have_run_is_not_written_again() -> None:
     subject, pending = sent_request(NOT_IDEMPOTENT_CLASS)
     pending.record_possible_execution(0, START_MS)
     number = add_attempt(subject, pending, True)
@@ -115,7 +115,7 @@
     assert found is DenialReason.NOT_REPEATABLE
 
 
-def test_nothing_is_written_past_the_deadline_or_the_window_or_to_a_backend_that_left() -> None:
+def test_nothing_is_written_after_the_deadline_or_the_window_or_to_a_backend_not_ready() -> None:
     subject, pending = sent_request(KEYED_CELL_CLASS)
     assert write_denial_reason(START_MS + 1, pending, 0, True, SETTINGS) is None
     assert (
--- a/tests/policy/test_connection_rules.py
+++ b/tests/policy/test_connection_rules.py
@@ -1,4 +1,4 @@
-"""Whether a client's connection may be closed, and which response is its last."""
+"""Whether a client connection may be closed, and which response is its last."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         (ConnectionSnapshot(0, 0, False, True), NotClosedReason.REQUEST_UNREAD),
     ],
 )
-def test_a_connection_is_closed_only_at_rest(
+def test_a_connection_is_closed_only_without_received_or_unanswered_requests(
     snapshot: ConnectionSnapshot, reason: NotClosedReason | None
 ) -> None:
     assert not_closed_reason(snapshot) is reason
@@ -37,7 +37,7 @@
         (True, True, True, False),
     ],
 )
-def test_the_last_response_is_the_clients_choice_or_the_last_of_a_drain(
+def test_the_last_response_is_one_without_keep_alive_or_the_last_of_a_drain(
     keep_alive: bool, draining: bool, has_pending_requests: bool, last: bool
 ) -> None:
     assert is_last_response(keep_alive, draining, has_pending_requests) is last
--- a/tests/policy/test_fleet_scale.py
+++ b/tests/policy/test_fleet_scale.py
@@ -1,4 +1,4 @@
-"""What must hold at every size: many gateways, many backends, rare evidence."""
+"""Properties at every fleet size: many gateways, many backends, few observations of each."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 
-def test_each_backend_is_a_candidate_of_about_as_many_gateways() -> None:
+def test_backends_are_candidates_of_similar_numbers_of_gateways() -> None:
     candidacies = dict.fromkeys(range(1, 71), 0)
     for index in range(300):
         g = gateway(*candidacies, gateways=300, index=index)
@@ -34,13 +34,16 @@
     assert max(candidacies.values()) <= 1.5 * min(candidacies.values())
 
 
-def test_traffic_of_one_of_many_gateways_is_enough_to_know_its_backends() -> None:
-    """A few requests a second say little of eight backends, but enough of five."""
+def test_a_gateway_with_little_traffic_uses_few_backends() -> None:
+    """Guard against subsets that are too large for the traffic of one gateway.
+
+    A few requests per second give too few observations of eight backends, but enough of five.
+    """
     gateways_of = dict.fromkeys(range(60), 0)
     for index in range(40):
         g = gateway(*gateways_of, gateways=40, index=index)
         used = set()
-        for number in range(80):  # ten seconds of one gateway's share
+        for number in range(80):  # 10 s of one gateway's traffic
             now = START_MS + number * 125
             for send in actions_of_type(g.handle(now, request_arrived(number)), Send):
                 used.add(send.backend)
@@ -48,16 +51,18 @@
         assert len(used) <= 6
         for backend in used:
             gateways_of[backend] += 1
-    assert min(gateways_of.values()) >= 3  # and none depends on one or two
+    assert min(gateways_of.values()) >= 3  # so that no backend depends on one or two gateways
 
 
-def test_work_of_an_event_does_not_grow_with_the_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Counted in forecasts, not in seconds."""
+def test_number_of_compared_backends_does_not_grow_with_the_fleet(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guard against work per event that grows with the fleet, counted in latency estimates."""
     estimate_counts = Counter[int]()
     expected_latency_ms = LoadBalancer.expected_latency_ms
     backends = 0
 
-    def counted(
+    def counting(
         balancer: LoadBalancer,
         now: float,
         backend: Backend,
@@ -67,7 +72,7 @@
         estimate_counts[backends] += 1
         return expected_latency_ms(balancer, now, backend, pending, fleet_inflation)
 
-    monkeypatch.setattr(LoadBalancer, "expected_latency_ms", counted)
+    monkeypatch.setattr(LoadBalancer, "expected_latency_ms", counting)
     for backends in (10, 1000):
         g = Gateway(gateway(gateways=2).settings, 1)
         g.handle(START_MS, endpoint_list_update(*range(1, backends + 1)))
@@ -79,8 +84,8 @@
     assert estimate_counts[1000] / 100 <= 16
 
 
-def test_backend_that_fails_one_class_loses_that_class_only() -> None:
-    """On hobart-tariffs-later good responses of one class covered for failures of another."""
+def test_backend_that_fails_one_class_is_avoided_for_that_class_only() -> None:
+    """Guard against successful responses of one class that hide the failures of another."""
     failing, other = 1, 0  # classes
     g = gateway(*range(1, 6), classes=(IDEMPOTENT_CLASS, NOT_IDEMPOTENT_CLASS), plans=(Plan(0, 0),))
     to_faulty = Counter[int]()
@@ -98,11 +103,11 @@
                     number, send.backend, outcome, elapsed_ms=150.0 + 150.0 * class_index
                 ),
             )
-    assert to_faulty[failing] < 40  # of 550, a fifth of which would be 110
+    assert to_faulty[failing] < 40  # of 550, of which an even share of a fifth would be 110
     assert to_faulty[other] > 60
 
 
-def test_backends_that_left_are_forgotten() -> None:
+def test_backends_that_left_the_list_are_removed() -> None:
     g = gateway(1)
     for backend in range(2, 500):
         g.handle(START_MS, endpoint_list_update(backend, kind=UpdateKind.FULL))
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a second attempt elsewhere while the first is overdue."""
+"""Hedged requests: a second attempt at another backend while the first is overdue."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Overdue(NamedTuple):
-    """A request whose first attempt is overdue, at the time at which its timer fires."""
+    """A request whose first attempt is overdue at the time `now`, when its timer fires."""
 
     first: Send
     timer: SetTimer
@@ -54,7 +54,7 @@
 
 
 def hedge(g: Gateway, overdue: Overdue) -> Send:
-    """Let the timer fire and return the hedged request."""
+    """Fire the timer and return the hedged attempt."""
     second = g.handle(overdue.now, TimerFired(overdue.timer.label))[0]
     assert isinstance(second, Send)
     return second
@@ -88,7 +88,7 @@
 
 @hedged_classes
 def test_request_is_rejected_only_once_no_attempt_is_in_flight(class_index: int) -> None:
-    """Rule 2: what is in flight may still run, and a rejection would promise that it won't."""
+    """Guard against a rejection while an attempt may still run: it promises that none does."""
     g = gateway(1, 2, **HEDGING)
     overdue = start(g, 1, class_index)
     second = hedge(g, overdue)
@@ -101,14 +101,14 @@
     assert isinstance(rejection, Reject)
 
 
-def test_silent_fleet_gets_no_storm_of_hedged_requests() -> None:
+def test_silent_fleet_gets_a_bounded_number_of_hedged_requests() -> None:
     g = gateway(*range(1, 9), **HEDGING)
-    timers: list[tuple[float, int]] = []  # when they fire, and their labels
+    timers: list[tuple[float, int]] = []  # time and label of each
     first_attempts = 0
     hedged = 0
 
     def handle(now: float, event: Event) -> int:
-        """Hand over the event, keep the timers, and return how many attempts were started."""
+        """Pass on the event, keep the timers, and return the number of attempts started."""
         actions = g.handle(now, event)
         timers.extend(
             (now + timer.after_ms, timer.label) for timer in actions_of_type(actions, SetTimer)
@@ -126,7 +126,10 @@
 
 
 def test_overdue_attempt_that_is_cancelled_counts_against_its_backend() -> None:
-    """Else a machine that has vanished would get a request, hedged elsewhere, again and again."""
+    """Guard against repeated attempts at a machine that has disappeared.
+
+    All of them are hedged and then cancelled, so that none ends as a failure.
+    """
     g = gateway(1, 2, **HEDGING)
     for number in range(4):
         sent_at = START_MS + number * 5000
@@ -150,7 +153,10 @@
 def test_client_that_leaves_as_an_attempt_ends_gets_no_further_attempt(
     outcome: Outcome, left_first: bool
 ) -> None:
-    """Either order within one turn of the loop; the timer for hedging fires after both."""
+    """Guard against an attempt for a client that has disconnected.
+
+    Both events come in one iteration of the event loop, in either order, before the hedging timer.
+    """
     g = gateway(1, 2, 3, hedging=True)
     overdue = start(g, 1, IDEMPOTENT)
     end = attempt_ended(1, overdue.first.backend, outcome, elapsed_ms=5.0)
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""The choice of a backend, and what a slow or failed attempt says of it and of the fleet."""
+"""The choice of a backend, and the effect of slow or failed attempts on the estimates."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 )
 
 NO_QUOTA = Plan(rate=0, burst=0)
-NOT_IDEMPOTENT = 3  # among the usual classes
+NOT_IDEMPOTENT = 3  # index of the class in the default settings
 
 
 def test_one_reset_inflates_one_class_of_its_backend_a_little() -> None:
-    """Malformed responses come from all backends alike, and must not leave the choice to chance."""
+    """Guard against a choice at random after malformed responses, which all backends send alike."""
     g = gateway(1, 2, plans=(NO_QUOTA,))
     send = only_action(Send, g.handle(START_MS + 1, request_arrived(1, request_class=0)))
     g.handle(START_MS + 100, attempt_ended(1, send.backend, Outcome.RESET))
@@ -30,16 +30,19 @@
     assert others == [1.0] * len(others)
 
 
-def test_one_stuck_attempt_does_not_inflate_the_fleet() -> None:
-    """Incident re163d6: one time-out, 25 times the usual, had a gateway reject all for seconds."""
+def test_one_timed_out_attempt_inflates_the_fleet_little() -> None:
+    """Guard against a gateway that rejects all requests for seconds after one time-out.
+
+    The time-out took 25 times the usual latency, and the estimate for the fleet followed it.
+    """
     g = gateway(plans=(NO_QUOTA,))
     send = only_action(Send, g.handle(START_MS, request_arrived(1)))
     g.handle(START_MS + 4000, attempt_ended(1, send.backend, Outcome.TIMEOUT, elapsed_ms=4000.0))
     assert g.estimate.inflation.current(START_MS + 4000) < 2
 
 
-def test_overloaded_fleet_gets_a_request_now_and_then() -> None:
-    """With all rejected no response would show that the overload is over."""
+def test_overloaded_fleet_gets_a_request_after_a_silence() -> None:
+    """Guard against endless rejection: without attempts no response shows that overload is over."""
     g = gateway(plans=(NO_QUOTA,))
     g.estimate.inflation.observe(START_MS, 50.0, 1.0)
     sent = [
@@ -51,7 +54,10 @@
 
 
 def test_idle_fleet_is_used_after_any_failures() -> None:
-    """Evidence must not keep itself alive: all responses are errors, then nothing is in flight."""
+    """Guard against estimates that prevent the attempts which would correct them.
+
+    All responses are errors, and then no attempt is in flight.
+    """
     g = gateway()
     for number in range(200):
         now = START_MS + number
@@ -62,7 +68,7 @@
 
 
 def test_silent_fleet_gets_a_bounded_number_of_requests() -> None:
-    """Queues must not take the whole latency objective."""
+    """Guard against queues in which requests wait for all of their latency objective."""
     g = gateway()
     sent = [
         send
@@ -73,7 +79,10 @@
 
 
 def test_overdue_attempt_counts_before_its_response() -> None:
-    """Incident i208070: after a crash the rest was overloaded before late responses showed it."""
+    """Guard against an estimate that ignores overdue attempts until they end.
+
+    After a crash, the other backends were overloaded before late responses showed it.
+    """
     g = gateway(1, 2)
     send = only_action(Send, g.handle(START_MS, request_arrived(1, request_class=NOT_IDEMPOTENT)))
     later = START_MS + 2000
@@ -111,4 +120,4 @@
             end = attempt_ended(number, send.backend, elapsed_ms=150)
         g.handle(now + 5, end)
     assert len(tried_at) < 60
-    assert tried_at[-1] > START_MS + 5_000  # ever more rarely while it goes on failing
+    assert tried_at[-1] > START_MS + 5_000  # increasingly rarely while it keeps failing
--- a/tests/policy/test_policy_limits.py
+++ b/tests/policy/test_policy_limits.py
@@ -1,4 +1,4 @@
-"""The limits on the decision modules, and the README's example."""
+"""The limits on the policy modules, the deploy file, and the README's example."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.support.builders import settings
 from tests.support.paths import ROOT
 
-MAX_FILE_LINES = 300  # that are not blank
+MAX_FILE_LINES = 300  # without blank lines
 MAX_FUNCTION_LINES = 40
 MAX_COLUMNS = 100
 
@@ -54,7 +54,7 @@
     assert sorted(served + elsewhere) == [p for p in package if p != PACKAGE_DOCSTRING]
 
 
-def test_the_policy_keeps_its_limits() -> None:
+def test_policy_files_keep_the_size_limits() -> None:
     assert max(map(code_lines, POLICY.values())) <= MAX_FILE_LINES
     assert (
         max(max(function_lines(text), default=0) for text in POLICY.values()) <= MAX_FUNCTION_LINES
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -25,18 +25,18 @@
 
 @pytest.fixture
 def customer() -> CustomerQuota:
-    """A customer of one gateway in four."""
+    """A customer of four gateways, at one of them."""
     return CustomerQuota(PLAN, 4, START_MS)
 
 
 # ---- the bucket
 
 
-def test_bucket_starts_at_the_even_split(customer: CustomerQuota) -> None:
+def test_bucket_starts_with_an_even_share_of_the_burst(customer: CustomerQuota) -> None:
     assert customer.quota_share == 0.25
     assert customer.tokens == 4.0
     customer.tokens = 0.0
-    customer.refill(START_MS + 500)  # 8 / 4 units a second for half a second
+    customer.refill(START_MS + 500)  # 8 / 4 units per second for half a second
     assert customer.tokens == pytest.approx(1.0)
     customer.refill(START_MS + 60_000)
     assert customer.tokens == pytest.approx(4.0)
@@ -48,7 +48,10 @@
 def test_new_requests_leave_the_reserve_to_marked_retries(
     tokens: float, retry: bool, kind: type[Action]
 ) -> None:
-    """The reserve is a tenth of 4 units."""
+    """Guard against new requests that leave no tokens for marked retries.
+
+    The reserve is a tenth of 4 units.
+    """
     g, _ = gateway_with_customer(tokens, PLAN, clients_mark_retries=True)
     assert actions_of_type(
         g.handle(START_MS, request_arrived(1, gateway_spread=4, retry=retry)), kind
@@ -105,7 +108,7 @@
         (Plan(1, 2, over_quota_weight=0.3, over_quota_cost=0.4), 1),
     ],
 )
-def test_requests_beyond_quota_are_sent_only_if_they_earn_more_than_they_cost(
+def test_requests_beyond_quota_are_sent_only_if_their_weight_exceeds_their_cost(
     plan: Plan, sends: int
 ) -> None:
     g = gateway(*range(1, 60), plans=(plan,), classes=(IDEMPOTENT_CLASS,))
@@ -117,13 +120,13 @@
     plan = Plan(rate=10, burst=20, ceiling_rate=20, ceiling_burst=40, ceiling_slack=4)
     g = Gateway(settings(plans=(plan,)), 1)
     g.handle(START_MS, endpoint_list_update(1, 2, 3))
-    # Before its start the gateway may have forwarded anything.
+    # The gateway doesn't know what it forwarded before its start, so the ceiling is empty.
     (action,) = g.handle(START_MS, request_arrived(1, customer=1, units=2.0))
     assert isinstance(action, Reject)
     assert actions_of_type(
         g.handle(START_MS + 10_000, request_arrived(2, customer=2, units=2.0)), Send
     )
-    assert g.customers.by_number[2].ceiling_tokens == 20 - 2  # its even part of the ceiling
+    assert g.customers.by_number[2].ceiling_tokens == 20 - 2  # its even share of the ceiling
 
 
 # ---- the share
@@ -137,7 +140,9 @@
         customer.exhausted = True
         customer.adjust_share(START_MS + second * 1000, False)
         customer.exhausted = True
-        customer.adjust_share(START_MS + second * 1000 + 500, False)  # within the second: unchanged
+        customer.adjust_share(
+            START_MS + second * 1000 + 500, False
+        )  # less than a second later: unchanged
         shares.append(customer.quota_share)
     assert shares == [0.375, 0.5625, 0.84375, 1.0, 1.0]
     customer.exhausted = False
@@ -145,12 +150,14 @@
     assert customer.quota_share == 1.0
 
 
-def test_share_of_an_over_used_quota_falls_to_the_even_split_and_no_further(
+def test_share_of_an_over_used_quota_falls_to_the_even_share_and_no_further(
     customer: CustomerQuota,
 ) -> None:
     customer.quota_share = 1.0
     customer.adjust_share(START_MS + 1000, True)
-    assert customer.quota_share == pytest.approx(0.625)  # half of 0.75 above the even 0.25
+    assert customer.quota_share == pytest.approx(
+        0.625
+    )  # half of the 0.75 above the even share of 0.25
     for second in range(60):
         customer.exhausted = True
         customer.adjust_share(START_MS + 2000 + second * 1000, True)
@@ -159,7 +166,7 @@
 
 def test_share_does_not_grow_while_the_shared_balance_is_low(customer: CustomerQuota) -> None:
     customer.exhausted = True
-    customer.shared_balance = 7.0  # of 16
+    customer.shared_balance = 7.0  # of a burst of 16
     customer.adjust_share(START_MS + 1000, False)
     assert customer.quota_share == 0.25
 
@@ -183,8 +190,11 @@
 
 
 def test_one_counter_reply_is_enough_to_know_the_shared_balance(customer: CustomerQuota) -> None:
-    """Two readings a minute apart, or by a restarted gateway, could not be compared."""
-    # 16 - 100 + 8 x 12 = 12, less 2
+    """Guard against a balance that needs the difference of two readings.
+
+    Readings that are a minute apart, or one before a restart, could not be compared.
+    """
+    # 16 - 100 + 8 x 12 = 12, minus 2
     assert customer.apply_counter_total(START_MS, 100.0, 2.0, 12_000.0) == 0.0
     assert customer.shared_balance == pytest.approx(10.0)
 
@@ -197,7 +207,7 @@
     assert customer.tokens == pytest.approx(7.5)
 
 
-def test_balance_above_the_burst_is_returned_as_what_the_total_lacks(
+def test_balance_above_the_burst_is_returned_as_surplus(
     customer: CustomerQuota,
 ) -> None:
     # 16 - 4 + 16 is 12 above the burst
@@ -205,8 +215,11 @@
     assert customer.shared_balance == pytest.approx(15.0)
 
 
-def test_fresh_counter_name_takes_over_what_was_used(customer: CustomerQuota) -> None:
-    """Each minute's new name, or a lost counter, would else give heavy customers a new burst."""
+def test_new_counter_name_keeps_the_previous_balance(customer: CustomerQuota) -> None:
+    """Guard against a new burst with each new name, or after the counter has lost a name.
+
+    Names change every minute, so heavy customers would get a new burst each minute.
+    """
     customer.shared_balance = 0.0
     customer.balance_observed_at = START_MS
     surplus = customer.apply_counter_total(START_MS + 500, 0.0, 0.0, 100.0)
@@ -217,7 +230,7 @@
 # ---- the table of customers
 
 
-def test_customers_that_came_once_are_soon_forgotten_and_empty_groups_go() -> None:
+def test_customers_without_requests_expire_and_empty_groups_are_removed() -> None:
     g = Gateway(settings(plans=(Plan(rate=2, burst=8),)), 1)
     for n in range(1, 100):
         g.handle(START_MS, endpoint_list_update(n))
@@ -228,8 +241,8 @@
     assert len(g.customers.by_number) <= 210
 
 
-def test_idle_customers_requests_and_counter_calls_are_forgotten() -> None:
-    """A gateway in service for weeks must not keep all that it ever saw."""
+def test_idle_customers_ended_requests_and_answered_calls_are_removed() -> None:
+    """Guard against memory that grows with every request while a gateway runs for weeks."""
     g = gateway(*range(1, 9), plans=(PLAN,), counter=True, counter_timeout_ms=30.0, gateways=200)
     for n in range(3000):
         now = START_MS + n * 100
--- a/tests/policy/test_quota_sync.py
+++ b/tests/policy/test_quota_sync.py
@@ -1,4 +1,4 @@
-"""Quotas shared through the counter: what is asked of it, reported to it, and learnt from it."""
+"""Quotas shared through the counter: held requests, reports of use, names and the call rate."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 PLAN = Plan(rate=8, burst=16)
 BACKENDS = range(1, 30)
 REPORT_BATCH = 0.08 * PLAN.burst
-# A gateway in 200, whose share of the quota is too thin for one request.
+# One gateway of 200, whose share of the quota is too small for one request.
 THIN_SHARE: dict[str, Any] = {
     "plans": (PLAN,),
     "counter": True,
@@ -45,7 +45,7 @@
 
 
 def ask(g: Gateway, number: int, now: float = START_MS, **changes: Any) -> AddToCounter:
-    """Let a request arrive that the thin share can't decide; return the call that asks for it."""
+    """Send a request that exceeds the share; return the counter call that it is held for."""
     (call,) = g.handle(now, request_arrived(number, gateway_spread=200, **changes))
     assert isinstance(call, AddToCounter)
     return call
@@ -71,8 +71,8 @@
     return PLAN.burst + g.quota_sync.current_name(now, customer).age_ms / 1000 * PLAN.rate
 
 
-def overload(g: Gateway) -> None:
-    """Let work from here stand at every backend, far past what any class may wait for."""
+def overload_backends(g: Gateway) -> None:
+    """Add so much outstanding work to every backend that any class of requests is rejected."""
     for backend in g.endpoints.backends.values():
         backend.outstanding_work_ms = 1e6
         backend.in_flight[0, 0] = InFlightAttempt(START_MS, 100.0, 1.0, 0, START_MS + 1e6)
@@ -112,9 +112,11 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.REJECTED])
 def test_last_known_balance_decides_if_the_counter_fails(outcome: Outcome) -> None:
-    """Units that the counter may have added are not reported again."""
+    """Guard against double counting: units that may have been added are not reported again."""
     g, call = gateway_with_a_waiting_request()
-    g.quota_sync.counter_call_rate = 0.0  # no further calls: what is unreported stays to be seen
+    g.quota_sync.counter_call_rate = (
+        0.0  # no further calls, so that unreported units can be checked
+    )
     unreported = g.customers.by_number[9].unreported_units
     assert actions_of_type(reply(g, call, 0.0, outcome), Send)
     not_added = 0.0 if outcome is Outcome.TIMEOUT else call.amount
@@ -131,25 +133,31 @@
 
 
 def test_overloaded_fleet_rejects_before_the_counter_is_asked() -> None:
-    """At 40 gateways a request granted, rejected and returned cost two calls for nothing."""
+    """Guard against useless counter calls for requests that overload rejects afterwards.
+
+    At 40 gateways such a request took two calls: one for its units and one to return them.
+    """
     g = gateway(*BACKENDS, **THIN_SHARE)
-    overload(g)
+    overload_backends(g)
     (rejection,) = g.handle(START_MS, request_arrived(1, gateway_spread=200))
     assert isinstance(rejection, Reject)
     assert rejection.retry_after_ms > 0
     assert not g.quota_sync.pending_calls
 
 
-def test_granted_request_is_sent_though_the_fleet_is_overloaded_meanwhile() -> None:
+def test_granted_request_is_sent_even_if_the_fleet_is_overloaded_by_then() -> None:
     g, call = gateway_with_a_waiting_request()
-    overload(g)
+    overload_backends(g)
     actions = reply(g, call, 4.0)
     assert actions_of_type(actions, Send)
     assert not actions_of_type(actions, Reject)
 
 
 def test_request_that_could_not_wait_for_the_reply_is_decided_at_once() -> None:
-    """Found on kolkata-fleet-later big-1: with 20 ms left a client waited for a late reply."""
+    """Guard against a request held past its deadline.
+
+    With 20 ms left, a client waited for a late counter reply.
+    """
     g = gateway(**THIN_SHARE)
     (decision,) = g.handle(
         START_MS, request_arrived(1, gateway_spread=200, units=4.0, time_left_ms=20.0)
@@ -181,10 +189,12 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "again"),
+    ("outcome", "reported_again"),
     [(Outcome.RESET, True), (Outcome.CONNECT_FAILED, True), (Outcome.TIMEOUT, False)],
 )
-def test_use_is_reported_again_if_its_call_was_not_applied(outcome: Outcome, again: bool) -> None:
+def test_use_is_reported_again_if_its_call_was_not_applied(
+    outcome: Outcome, reported_again: bool
+) -> None:
     g = gateway(**COUNTED)
     g.quota_sync.counter_call_rate = 1.0
     calls: list[AddToCounter] = []
@@ -197,7 +207,7 @@
     (customer,) = g.customers.by_number.values()
     before = customer.unreported_units
     g.handle(START_MS + 50, CounterReplied(calls[0].name, outcome, 50.0, 0.0))
-    assert (customer.unreported_units > before) is again
+    assert (customer.unreported_units > before) is reported_again
 
 
 def test_calls_lost_with_one_connection_are_one_sign_of_congestion() -> None:
@@ -213,8 +223,8 @@
     assert g.quota_sync.counter_call_rate == pytest.approx(0.7)
 
 
-def test_reports_of_200_gateways_are_right_on_average() -> None:
-    """A share below one batch still counts: each rounds by its own chance, none is starved."""
+def test_reports_of_200_gateways_are_correct_on_average() -> None:
+    """Guard against use below one batch that no gateway reports: each rounds at random."""
     used = 0.0
     reported = 0.0
     for index in range(200):
@@ -229,7 +239,7 @@
 def test_nothing_is_returned_to_an_empty_balance_while_the_counter_is_congested(
     counter_call_rate: float, calls: int
 ) -> None:
-    """Calls that returned the units of rejected requests had a quarter of all calls rejected."""
+    """Guard against congestion by returns: with them, a quarter of all calls was rejected."""
     g = gateway(plans=(PLAN,), gateways=4, counter=True, counter_timeout_ms=50.0)
     g.quota_sync.counter_call_rate = counter_call_rate
     call = only_action(
@@ -242,7 +252,7 @@
     returns = actions_of_type(actions, AddToCounter)
     assert len(returns) == calls
     assert all(returned.amount < 0 for returned in returns)
-    # What is not returned is kept for what is used here next.
+    # Units that are not returned are kept for later use at this gateway.
     kept = g.customers.by_number[9].unreported_units < -6.0
     assert kept == (calls == 0)
 
@@ -250,19 +260,22 @@
 # ---- names, totals and the rate of calls
 
 
-def test_replies_for_the_last_name_and_for_no_call_do_no_harm() -> None:
+def test_replies_for_the_previous_name_and_without_a_call_are_ignored() -> None:
     g = gateway(*BACKENDS, **THIN_SHARE)
     age_ms = g.quota_sync.current_name(START_MS, CustomerQuota(PLAN, 200, START_MS, 9)).age_ms
     name_change = START_MS + 60_000 - age_ms
     call = ask(g, 2, name_change - 1, units=4.0)
     assert reply(g, AddToCounter(77, 0.0, 0.0), 5.0) == []
-    # The total says nothing of the current name.
+    # The total of the previous name says nothing about the current one.
     assert actions_of_type(reply(g, call, 1e6, now=name_change + 2), Send)
     assert reply(g, call, 5.0) == []
 
 
-def test_two_corrections_of_a_name_at_once_leave_its_total_right() -> None:
-    """The later one is undone, and that is not corrected again (rough-2: 16,484 such calls)."""
+def test_two_concurrent_corrections_of_a_total_leave_it_correct() -> None:
+    """Guard against corrections that trigger each other; 16,484 calls were wasted on them.
+
+    The later correction is undone, and undoing it is not corrected again.
+    """
     total = 0.0
     gateways = [gateway(seed=n, **{**THIN_SHARE, "index": n}) for n in range(5)]
     waiting = [(g, ask(g, 1, units=4.0)) for g in gateways]
@@ -286,7 +299,10 @@
     g = gateway(*range(1, 300), **THIN_SHARE)
 
     def count_calls(numbers: range, outcome: Outcome, **changes: Any) -> int:
-        """Answer every request that is sent: an overloaded fleet would reject without a call."""
+        """Count the calls for these requests.
+
+        Every request that is sent is answered: an overloaded fleet would reject without a call.
+        """
         latency_ms = 30 if outcome is Outcome.TIMEOUT else 3
         calls = 0
         for number in numbers:
@@ -302,7 +318,9 @@
                 g.handle(START_MS, attempt_ended(number, send.backend))
         return calls
 
-    assert count_calls(range(200), Outcome.TIMEOUT, units=4.0) < 40  # the first ones time out
+    assert (
+        count_calls(range(200), Outcome.TIMEOUT, units=4.0) < 40
+    )  # calls until the first time-outs
     assert count_calls(range(1000, 1200), Outcome.TIMEOUT, units=4.0) < 20
     count_calls(range(2000, 9000), Outcome.OK)
     assert g.quota_sync.counter_call_rate == 1.0
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -1,4 +1,4 @@
-"""Which requests are retried, and where."""
+"""Which requests are retried, and at which backends."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     request_arrived,
 )
 
-# The classes of the usual settings: what they state of idempotency, and how far a key holds.
+# Indexes of the classes in the default settings, by idempotency and deduplication scope.
 IDEMPOTENT, KEY_IN_CELL, KEY_ANYWHERE, NOT_IDEMPOTENT = range(4)
 POSSIBLY_EXECUTED = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 NEVER_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED)
@@ -41,7 +41,7 @@
         return
     assert isinstance(action, Send)
     if class_index == KEY_IN_CELL and outcome in POSSIBLY_EXECUTED:
-        assert action.backend % 2 == send.backend % 2  # its cell
+        assert action.backend % 2 == send.backend % 2  # in the same cell
     else:
         assert action.backend != send.backend
 
@@ -55,7 +55,7 @@
         (IDEMPOTENT, Reject),
     ],
 )
-def test_nothing_is_retried_past_the_window_and_no_rejection_promises_too_much(
+def test_nothing_is_retried_after_the_window_or_rejected_if_a_retry_is_unsafe(
     class_index: int, kind: type[Action]
 ) -> None:
     g = gateway(max_attempts=3 if class_index in (KEY_IN_CELL, KEY_ANYWHERE) else 1)
@@ -75,7 +75,7 @@
     assert isinstance(action, Reject)
 
 
-def test_failures_do_not_multiply_load() -> None:
+def test_failures_cause_a_bounded_number_of_retries() -> None:
     g = gateway(*range(1, 9))
     attempts = 0
     for number in range(500):
@@ -90,7 +90,7 @@
     assert attempts <= 500 * 1.1 + 10
 
 
-def test_no_attempt_not_even_a_retry_goes_to_a_draining_or_missing_backend() -> None:
+def test_no_attempt_is_sent_to_a_draining_or_unlisted_backend() -> None:
     g = gateway(1, 2)
     send = first_send(g, 1, IDEMPOTENT)
     other = 3 - send.backend
@@ -101,15 +101,18 @@
     (action,) = g.handle(START_MS + 20, attempt_ended(1, send.backend, Outcome.REJECTED))
     assert isinstance(action, Send)
     assert action.backend == send.backend
-    g.handle(START_MS + 30, endpoint_list_update(7))  # a full list without 1 and 2
+    g.handle(START_MS + 30, endpoint_list_update(7))  # a full list without backends 1 and 2
     assert first_send(g, 2, IDEMPOTENT, START_MS + 4000).backend == 7
 
 
 @pytest.mark.parametrize(("connect_timeout_ms", "retried"), [(250.0, True), (1400.0, False)])
-def test_no_retry_by_key_if_its_connection_may_come_up_past_the_window(
+def test_no_retry_by_key_if_connecting_may_take_until_after_the_window(
     connect_timeout_ms: float, retried: bool
 ) -> None:
-    """Of the window of 3 s 1.6 s are gone when the retry begins to connect."""
+    """Guard against a retry that arrives after the deduplication window.
+
+    1.6 s of the window of 3 s have elapsed when the retry starts to connect.
+    """
     g = gateway(1, 2, 3, connect_timeout_ms=connect_timeout_ms)
     send = first_send(g, 1, KEY_ANYWHERE)
     actions = g.handle(
@@ -119,15 +122,18 @@
     assert bool(actions_of_type(actions, Reject)) is not retried
 
 
-@pytest.mark.parametrize(("took_ms", "retried"), [(2600.0, True), (2800.0, False)])
-def test_no_retry_by_key_if_the_usual_time_to_connect_may_pass_the_window(
-    took_ms: float, retried: bool
+@pytest.mark.parametrize(("elapsed_ms", "retried"), [(2600.0, True), (2800.0, False)])
+def test_no_retry_by_key_if_less_than_the_connect_timeout_is_left_of_the_window(
+    elapsed_ms: float, retried: bool
 ) -> None:
-    """On sockets an attempt may take the time to connect before its last byte is written."""
+    """Guard against a retry that connects in time but arrives after the deduplication window.
+
+    An attempt may need the whole connect timeout before its last byte is written.
+    """
     g = gateway(1, 2, 3, 4)
     send = first_send(g, 1, KEY_ANYWHERE)
     actions = g.handle(
-        START_MS + took_ms, attempt_ended(1, send.backend, Outcome.RESET, elapsed_ms=took_ms)
+        START_MS + elapsed_ms, attempt_ended(1, send.backend, Outcome.RESET, elapsed_ms=elapsed_ms)
     )
     assert isinstance(actions[0], Send) is retried
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules under odd but legal orders of events, and proof that the checker can fail."""
+"""The five rules under unusual but valid orders of events, and tests that the checker can fail."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 PLANS = (Plan(20, 30, ceiling_rate=20, ceiling_burst=30),)
 
-Step = tuple[str, int, int]  # what happens, a number that picks how, and the milliseconds before
+Step = tuple[str, int, int]  # kind of step, number that selects its details, pause before it in ms
 
 STEPS = st.lists(
     st.tuples(
@@ -70,7 +70,7 @@
 
 
 class Player:
-    """Plays steps to a gateway under the checker; every attempt ends at its deadline at last."""
+    """Plays steps to a gateway through the checker; every attempt ends by its deadline."""
 
     def __init__(
         self, handle: Handler, settings: Settings, restart: Callable[[], Handler] | None = None
@@ -83,12 +83,12 @@
         self.checker.feed(self.now, endpoint_list_update(1, 2, 3, 4))
 
     def play(self, steps: list[Step]) -> None:
-        """Play the steps, then end whatever is in flight, and check that all is answered."""
+        """Play the steps, end all attempts in flight, and check that all requests are concluded."""
         play_step: dict[str, Callable[[int], None]] = {
-            "ask": self.ask,
-            "end": self.end_any,
-            "leave": self.leave,
-            "fleet": self.change_fleet,
+            "ask": self.send_request,
+            "end": self.end_random,
+            "leave": self.cancel_request,
+            "fleet": self.update_endpoints,
             "timer": self.fire_timer,
             "restart": self.restart,
         }
@@ -112,14 +112,14 @@
         ending = self.in_flight.pop(index)
         tracked = self.checker.requests[ending.request]
         concluded = tracked.concluded or outcome is Outcome.OK
-        took = self.now - ending.sent_at
+        elapsed_ms = self.now - ending.sent_at
         event = AttemptEnded(
-            ending.request, ending.attempt, ending.backend, outcome, took, concluded
+            ending.request, ending.attempt, ending.backend, outcome, elapsed_ms, concluded
         )
         self.start_attempts(self.checker.feed(self.now, event))
 
     def time_out(self) -> None:
-        """End the attempts whose deadlines have passed, each at its deadline."""
+        """End the attempts whose deadlines have passed, at the time of the deadline."""
         for index in reversed(range(len(self.in_flight))):
             deadline = self.checker.requests[self.in_flight[index].request].deadline
             if deadline <= self.now:
@@ -128,7 +128,7 @@
                 self.end(index, Outcome.TIMEOUT)
                 self.now = now
 
-    def ask(self, pick: int) -> None:
+    def send_request(self, pick: int) -> None:
         self.request_count += 1
         event = request_arrived(
             self.request_count,
@@ -139,15 +139,15 @@
         )
         self.start_attempts(self.checker.feed(self.now, event))
 
-    def end_any(self, pick: int) -> None:
+    def end_random(self, pick: int) -> None:
         if self.in_flight:
             self.end(pick % len(self.in_flight), list(Outcome)[pick // 7 % 8])
 
-    def leave(self, pick: int) -> None:
+    def cancel_request(self, pick: int) -> None:
         if self.request_count:
             self.checker.feed(self.now, RequestCancelled(1 + pick % self.request_count))
 
-    def change_fleet(self, pick: int) -> None:
+    def update_endpoints(self, pick: int) -> None:
         state = list(EndpointStatus)[pick % 3]
         kind = list(UpdateKind)[pick // 3 % 4]
         ids = [backend for backend in (1, 2, 3, 4) if pick >> (backend + 4) & 1]
@@ -158,7 +158,7 @@
         self.checker.feed(self.now, TimerFired(pick % 2))
 
     def restart(self, pick: int) -> None:
-        """Replace the gateway; the requests it held are the clients' to retry."""
+        """Replace the gateway; clients have to retry the requests that were pending."""
         if self.restart_gateway is None:
             return
         self.in_flight.clear()
@@ -176,14 +176,17 @@
     Player(Gateway(s, 3).handle, s, lambda: Gateway(s, 4).handle).play(steps)
 
 
-def test_failed_poll_changes_no_endpoint_whatever_comes_with_it() -> None:
-    """Found by the test above: a draining backend was sent to again."""
+def test_failed_poll_changes_no_endpoint_despite_its_entries() -> None:
+    """Guard against a failed poll that makes a draining backend ready again.
+
+    The test above found the case.
+    """
     s = settings(plans=PLANS, clients_mark_retries=False, counter=True)
     steps = [("fleet", 7964, 209), ("end", 613, 205), ("fleet", 886, 343), ("ask", 412720, 125)]
     Player(Gateway(s, 3).handle, s).play(steps)
 
 
-def test_backend_that_comes_back_is_used_again() -> None:
+def test_backend_that_returns_to_the_list_is_used_again() -> None:
     g = gateway(1)
     g.handle(START_MS, endpoint_list_update(1, state=EndpointStatus.GONE, kind=UpdateKind.CHANGES))
     assert isinstance(g.handle(START_MS, request_arrived(1))[0], Reject)
@@ -191,7 +194,7 @@
     assert only_action(Send, g.handle(START_MS, request_arrived(2))).backend == 1
 
 
-def test_ceiling_starts_empty_and_holds_across_a_restart() -> None:
+def test_ceiling_starts_empty_and_is_kept_across_a_restart() -> None:
     s = settings(plans=(Plan(1000, 1000, ceiling_rate=10, ceiling_burst=20),))
     checker = RuleChecker(Gateway(s, 1).handle, s)
     checker.feed(START_MS, endpoint_list_update(1, 2, 3, 4))
@@ -204,15 +207,15 @@
         for send in actions_of_type(checker.feed(now, request_arrived(number)), Send):
             sent += 1
             checker.feed(now, attempt_ended(number, send.backend, elapsed_ms=1))
-    assert 40 <= sent <= 50  # 5 units a second for 10 s
+    assert 40 <= sent <= 50  # 5 units per second for 10 s
 
 
-def unlisted_gateway() -> Gateway:
+def gateway_without_endpoints() -> Gateway:
     return Gateway(settings(), 1)
 
 
-@pytest.mark.parametrize("new_gateway", [unlisted_gateway, lambda: gateway(1)])
-def test_events_about_unknown_requests_and_timers_do_no_harm(
+@pytest.mark.parametrize("new_gateway", [gateway_without_endpoints, lambda: gateway(1)])
+def test_events_about_unknown_requests_and_timers_are_ignored(
     new_gateway: Callable[[], Gateway],
 ) -> None:
     g = new_gateway()
@@ -222,7 +225,7 @@
 
 
 def test_gateway_without_endpoints_rejects_and_serves_once_it_has_some() -> None:
-    g = unlisted_gateway()
+    g = gateway_without_endpoints()
     g.handle(START_MS, endpoint_list_update(kind=UpdateKind.CACHED))
     (rejection,) = g.handle(START_MS, request_arrived(1))
     assert isinstance(rejection, Reject)
@@ -233,7 +236,7 @@
 
 
 class FaultyGateway(Gateway):
-    """A gateway with one deliberate fault, to show that the checker can fail."""
+    """A gateway with one deliberate fault, which shows that the checker can fail."""
 
     fault = ""
 
@@ -271,15 +274,15 @@
         player.play(steps)
 
 
-def test_checker_fails_on_a_ceiling_that_is_passed() -> None:
+def test_checker_fails_on_an_exceeded_ceiling() -> None:
     s = settings(plans=(Plan(1000, 1000, ceiling_rate=10, ceiling_burst=20),))
     without_ceiling = settings(plans=(Plan(1000, 1000),))
     checker = RuleChecker(Gateway(without_ceiling, 1).handle, s)
     checker.feed(START_MS, endpoint_list_update(*range(1, 60)))
 
-    def pass_the_ceiling() -> None:
+    def exceed_the_ceiling() -> None:
         for number in range(30):
             checker.feed(START_MS, request_arrived(number))
 
     with pytest.raises(RuleViolationError, match="ceiling"):
-        pass_the_ceiling()
+        exceed_the_ceiling()
--- a/tests/policy/test_service_time.py
+++ b/tests/policy/test_service_time.py
@@ -1,4 +1,4 @@
-"""The service time follows the calmer observations, and is trusted by their number."""
+"""The service time follows observations at low load; more of them reduce its margin."""
 
 from __future__ import annotations
 
@@ -15,31 +15,34 @@
 )
 
 
-def observed(*values: float) -> ServiceTime:
+def service_time_of(*values: float) -> ServiceTime:
     service_time = ServiceTime(1000.0)
     for value in values:
         service_time.observe(value, 1.0)
     return service_time
 
 
-def test_few_observations_leave_a_margin_that_gateways_share() -> None:
-    one = observed(*[100.0] * 9)
+def test_few_observations_leave_a_margin_that_is_smaller_with_more_gateways() -> None:
+    one = service_time_of(*[100.0] * 9)
     assert one.upper_bound_ms(1) > one.upper_bound_ms(10) > 100
 
 
-def test_a_congested_block_does_not_raise_it_while_calm_ones_are_known() -> None:
-    calm = observed(*[100.0] * 2 * BLOCK_SIZE)
-    congested = observed(*[100.0] * 2 * BLOCK_SIZE, *[300.0] * BLOCK_SIZE)
+def test_a_congested_block_does_not_raise_the_service_time() -> None:
+    calm = service_time_of(*[100.0] * 2 * BLOCK_SIZE)
+    congested = service_time_of(*[100.0] * 2 * BLOCK_SIZE, *[300.0] * BLOCK_SIZE)
     assert congested.upper_bound_ms(1) == pytest.approx(calm.upper_bound_ms(1))
 
 
-def test_service_that_stays_slower_is_learnt() -> None:
-    slower = observed(*[100.0] * 2 * BLOCK_SIZE, *[300.0] * 9 * BLOCK_SIZE)
+def test_a_lasting_slowdown_raises_the_service_time() -> None:
+    slower = service_time_of(*[100.0] * 2 * BLOCK_SIZE, *[300.0] * 9 * BLOCK_SIZE)
     assert 300 <= slower.upper_bound_ms(100) < 320
 
 
-def test_requests_side_by_side_do_not_shorten_it() -> None:
-    """The fault of 2026-12-03: their time was divided by their number."""
+def test_concurrent_requests_do_not_shorten_the_service_time() -> None:
+    """Guard against dividing the elapsed time of concurrent requests by their number.
+
+    The result showed a backend with many cores as a single fast one.
+    """
     g = gateway(1)
     for number in range(0, 600, 6):
         now = START_MS + number * 100
@@ -53,7 +56,7 @@
     assert g.estimate.service_time.upper_bound_ms(1) >= 100
 
 
-def test_a_small_request_weighs_by_its_work() -> None:
+def test_observations_are_weighted_by_work() -> None:
     service_time = ServiceTime(200.0)
     for _ in range(BLOCK_SIZE // 2):
         service_time.observe(200, 0.2)
--- a/tests/policy/test_shutdown.py
+++ b/tests/policy/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The schedule of a shutdown, for any longest deadline, and what the gateway makes of its start."""
+"""The shutdown schedule for any longest deadline, and the gateway's reaction to a drain."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 @given(st.lists(st.floats(1.0, 60_000.0), min_size=1, max_size=5))
-def test_every_step_of_a_shutdown_comes_in_order_and_before_sigkill(
+def test_steps_of_a_shutdown_are_in_order_and_before_sigkill(
     deadlines_ms: list[float],
 ) -> None:
     schedule = shutdown_schedule([request_class(ms) for ms in deadlines_ms])
@@ -41,14 +41,17 @@
     ]
     assert steps == sorted(steps)
     assert schedule.kill_after_ms - schedule.respond_within_ms >= 2 * 150
-    assert schedule.min_accept_ms >= 400  # new connections keep coming for so long
+    assert schedule.min_accept_ms >= 400  # new connections may arrive for this long
 
 
 @pytest.mark.parametrize("drained", [True, False])
 def test_a_pending_request_is_concluded_and_not_retried_at_the_end_of_a_drain(
     drained: bool,
 ) -> None:
-    """Its own deadline is later; a retry would be lost with the process."""
+    """Guard against a retry that would be lost when the process exits.
+
+    The request's own deadline is later than the end of the drain.
+    """
     subject = gateway()
     sent = only_action(Send, subject.handle(START_MS, request_arrived(1, time_left_ms=4000.0)))
     if drained:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Cold backends under the sum of what all gateways send."""
+"""Slow start: the load that all gateways together send to cold backends."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
 from tests.support.fleet_simulation import FleetSimulation
 from tests.support.simulated_backend import Scenario
 
-MIN_USE = 0.1  # of the work that a cold backend can do: below it is left out rather than spared
+# A cold backend that gets less than this fraction of its capacity is not used enough.
+MIN_UTILIZATION = 0.1
 SEEDS = (1, 2)
 
 SCENARIOS = {
@@ -44,37 +45,38 @@
     name: str, seed: int
 ) -> None:
     simulation = FleetSimulation(SCENARIOS[name], seed).run()
-    fullest = simulation.peak_window_load()
-    fullest_by_work = simulation.peak_window_load(lambda request: request.actual_work)
-    use = [server.utilization(simulation.end) for server in simulation.cold]
+    peak_load = simulation.peak_window_load()
+    peak_load_by_actual_work = simulation.peak_window_load(lambda request: request.actual_work)
+    utilizations = [backend.utilization(simulation.end) for backend in simulation.cold]
     print(
-        f"{name}, seed {seed}: fullest window {fullest:.2f} of what is allowed "
-        f"({fullest_by_work:.2f} by actual work), use {min(use):.2f} to {max(use):.2f}, "
+        f"{name}, seed {seed}: highest load in a window {peak_load:.2f} of the allowed load "
+        f"({peak_load_by_actual_work:.2f} by actual work), "
+        f"utilization {min(utilizations):.2f} to {max(utilizations):.2f}, "
         f"served {simulation.requests_served / simulation.requests_sent:.2f} "
         f"of {simulation.requests_sent}"
     )
-    assert fullest <= 1
-    assert min(use) >= MIN_USE
+    assert peak_load <= 1
+    assert min(utilizations) >= MIN_UTILIZATION
 
 
 def test_simulation_overloads_backends_whose_start_is_hidden() -> None:
-    """The bound can be broken: the same simulation, with entries that say 'up since long ago'."""
+    """Show that the test above can fail: the endpoint list hides the start of cold backends."""
     scenario = SCENARIOS["200 gateways, 3 of 30 cold"]
     assert FleetSimulation(scenario, 1, hide_start=True).run().peak_window_load() > 1
 
 
 @pytest.mark.parametrize("name", ["200 gateways, 3 of 30 cold", "20 gateways, 2 of 20 cold"])
-def test_simulation_overloads_backends_of_gateways_that_each_believe_to_be_the_only_one(
+def test_simulation_overloads_backends_if_each_gateway_uses_the_whole_budget(
     name: str,
 ) -> None:
-    """The bound is one on the sum: each gateway knows the start, and uses the whole budget."""
+    """Show that the bound is on the sum: each gateway knows of the start, but shares no budget."""
     assert FleetSimulation(SCENARIOS[name], 1, gateways=1, index=0).run().peak_window_load() > 1
 
 
-def test_cold_backend_gets_its_part_in_any_window() -> None:
-    """Under a flood it takes less than twice its guaranteed part in any 3 s."""
+def test_cold_backend_gets_less_than_twice_its_guaranteed_part() -> None:
+    """Guard against overload by a single gateway with many requests, in any window of 3 s."""
     g = gateway(1, 2, 3)
-    for number in range(300):  # in which the gateway learns what the fleet can do
+    for number in range(300):  # the gateway learns the capacity of the fleet
         now = START_MS + number * 20
         send = only_action(Send, g.handle(now, request_arrived(number)))
         g.handle(now + 15, attempt_ended(number, send.backend, elapsed_ms=150))
@@ -89,46 +91,46 @@
     to_cold = [sent_at for sent_at, backend in sends if backend == 4]
     to_warm = [sent_at for sent_at, backend in sends if backend != 4]
     assert to_cold
-    for begin in to_cold:
-        end = begin + 3000
+    for window_start in to_cold:
+        end = window_start + 3000
         if end > sends[-1][0]:
             continue
-        cold = sum(begin <= sent_at < end for sent_at in to_cold)
-        mean_warm = sum(begin <= sent_at < end for sent_at in to_warm) / 3
-        # The guaranteed part in the middle of the window.
-        part = 0.2 + 0.8 * min(1, (begin + 1500 - cold_start) / 10_000)
-        assert cold <= 2 * part * mean_warm + 1
+        cold = sum(window_start <= sent_at < end for sent_at in to_cold)
+        mean_warm = sum(window_start <= sent_at < end for sent_at in to_warm) / 3
+        # The guaranteed capacity fraction in the middle of the window.
+        guaranteed_part = 0.2 + 0.8 * min(1, (window_start + 1500 - cold_start) / 10_000)
+        assert cold <= 2 * guaranteed_part * mean_warm + 1
 
 
-# ---- the budget shared among gateways
+# ---- the budget shared by all gateways
 
 
-WORK_MS = 150.0  # what the requests here are first believed to take
+WORK_MS = 150.0  # initial estimate of the work of these requests
 REPORT_FIELDS = ("backlog", "throughput", "utilization")
-# The overload factor x the capacity x the window, on the three cores of the simulator's backends.
+# Overload factor x initial capacity x window, for a backend with three cores.
 MAX_WORK_MS = 2 * 0.2 * 3000 * 3
 FIRST_COLD = 1000
 
 
 class ColdStart:
-    """Cold backends that all start at once, under a flood through every gateway."""
+    """Cold backends that all start at once, while every gateway gets too many requests."""
 
     def __init__(
         self,
         gateways: int,
         warm: int,
         cold: int,
-        kind: type[Gateway] = Gateway,
+        gateway_type: type[Gateway] = Gateway,
     ) -> None:
         self.gateways = gateways
         self.warm = warm
         self.cold = cold
-        self.kind = kind
+        self.gateway_type = gateway_type
         self.report: tuple[float, ...] = ()
         self.warm_report: tuple[float, ...] = ()
         self.units: tuple[float, ...] = (1.0,)
-        # When each cold backend got work, once for each unit.
-        self.work_at: list[list[float]] = [[] for _ in range(cold)]
+        # Times at which each cold backend got work, one for each unit.
+        self.work_times: list[list[float]] = [[] for _ in range(cold)]
 
     def run(self, seconds: int) -> ColdStart:
         """Let every gateway send four requests twice a second."""
@@ -137,7 +139,7 @@
         return self
 
     def _run_gateway(self, index: int, seconds: int) -> None:
-        g = self.kind(
+        g = self.gateway_type(
             gateway(
                 gateways=self.gateways,
                 index=index,
@@ -157,50 +159,60 @@
             units = self.units[number % len(self.units)]
             for send in actions_of_type(g.handle(now, request_arrived(number, units=units)), Send):
                 if send.backend >= FIRST_COLD:
-                    self.work_at[send.backend - FIRST_COLD] += [now] * int(units)
+                    self.work_times[send.backend - FIRST_COLD] += [now] * int(units)
                 end = attempt_ended(number, send.backend, elapsed_ms=WORK_MS * units)
                 report = self.report if send.backend >= FIRST_COLD else self.warm_report
                 g.handle(now, replace(end, report=report))
 
     @property
     def total_units(self) -> int:
-        """How much work all cold backends got."""
-        return sum(map(len, self.work_at))
+        """The units of work that all cold backends got."""
+        return sum(map(len, self.work_times))
 
     def most_work_ms(self) -> float:
-        """Return the most work that any cold backend got within 3 s."""
+        """Return the most work, in ms, that any cold backend got within 3 s."""
         return WORK_MS * max(
-            sum(begin <= at < begin + 3000 for at in times)
-            for times in self.work_at
-            for begin in times
+            sum(window_start <= at < window_start + 3000 for at in times)
+            for times in self.work_times
+            for window_start in times
         )
 
 
 @pytest.mark.parametrize(("gateways", "warm", "cold"), [(2, 6, 3), (60, 20, 10), (200, 2, 30)])
-def test_all_gateways_together_keep_within_the_budget_of_a_cold_backend(
+def test_all_gateways_together_stay_within_the_budget_of_a_cold_backend(
     gateways: int, warm: int, cold: int
 ) -> None:
-    """A 300th of a request is rounded by chance: not every gateway sends, and not none."""
+    """Guard against shares below one request being rounded up, or down, at every gateway.
+
+    A share may be a 300th of a request. It is rounded by a draw, so that few gateways send one.
+    """
     start = ColdStart(gateways, warm, cold).run(seconds=9)
     assert start.total_units > 0
     assert start.most_work_ms() < MAX_WORK_MS
 
 
 @pytest.mark.parametrize("units", [(1.0,), (1.0, 1.0, 1.0, 1.0, 8.0)])
-def test_budget_below_one_request_is_not_overdrawn_by_small_requests(
+def test_budget_below_one_request_is_not_exceeded_by_small_requests(
     units: tuple[float, ...],
 ) -> None:
-    """On join+vast a chance for the mean request admitted small ones three times too often."""
+    """Guard against an admission probability that ignores the size of requests.
+
+    With one for the mean request, small requests were admitted three times too often.
+    """
     start = ColdStart(60, 20, 10)
     start.units = units
     start.run(seconds=30)
-    budget_ms = 0.8 * 2 * 0.2 * 30_000  # of each backend in thirty seconds, with no load reports
+    budget_ms = 0.8 * 2 * 0.2 * 30_000  # of each backend in 30 s, without load reports
     mean_work_ms = start.total_units * WORK_MS / 10
     assert 0.4 * budget_ms < mean_work_ms < 1.3 * budget_ms
 
 
-def test_cold_backends_get_what_their_load_reports_show_that_they_can_do() -> None:
-    """Without, they idle beside overloaded warm ones; with, they are still not overloaded."""
+def test_load_reports_of_warm_backends_raise_the_budget_of_cold_ones() -> None:
+    """Guard against idle cold backends beside overloaded warm ones.
+
+    Without load reports the budget assumes one core. With reports of a higher capacity of warm
+    backends it is larger, and cold backends are still not overloaded.
+    """
     unknown = ColdStart(60, 2, 30).run(seconds=30)
     reported = ColdStart(60, 2, 30)
     reported.report = (0.0, 2.0, 0.5)  # four requests a second: a fifth of three cores
@@ -211,23 +223,23 @@
 
 
 class UnboundedSlowStart(SlowStart):
-    """A budget without a bound."""
+    """Slow start without a limit on attempts."""
 
     def admits(self, now: float, backend: Backend, work_ms: float) -> bool:
         return True
 
 
 class UnboundedGateway(Gateway):
-    """A gateway that knows no cold backends, to show that the bound above can be broken."""
+    """A gateway without slow start, which shows that the tests above can fail."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.load_balancer.slow_start = UnboundedSlowStart(settings, self.endpoints, self.estimate)
 
 
-def test_gateways_without_a_budget_break_the_bound() -> None:
+def test_gateways_without_a_budget_exceed_the_bound() -> None:
     start = ColdStart(60, 20, 10, UnboundedGateway).run(seconds=9)
-    in_first_window = [sum(at < START_MS + 3000 for at in times) for times in start.work_at]
+    in_first_window = [sum(at < START_MS + 3000 for at in times) for times in start.work_times]
     assert max(in_first_window) * WORK_MS > MAX_WORK_MS
 
 
@@ -239,7 +251,7 @@
     assert g.estimate.warm_capacity_per_s == pytest.approx(0.5)  # a twentieth of ten
 
 
-# ---- the window of one gateway
+# ---- the share of one gateway
 
 
 def sent_to_cold(g: Gateway, numbers: range, now: float) -> int:
@@ -250,7 +262,7 @@
 
 
 def before_a_cold_start(up: float) -> Gateway:
-    """Return a gateway that knows its backends, one of them cold, with a window of 3 s."""
+    """Return a gateway that has learnt its backend's capacity, with a cold backend added."""
     g = gateway(1)
     for number in range(1000, 1100):
         now = START_MS + 100 * (number - 1000)
@@ -260,14 +272,14 @@
     return g
 
 
-def test_a_gateway_spares_a_backend_that_an_earlier_life_may_have_sent_to() -> None:
+def test_a_restarted_gateway_delays_attempts_at_a_backend_it_may_have_used_before() -> None:
     g = gateway(1)
     g.handle(START_MS, endpoint_list_update(FIRST_COLD, kind=UpdateKind.CHANGES, up=START_MS - 500))
     assert sent_to_cold(g, range(20), START_MS + 1000) == 0
     assert sent_to_cold(g, range(20, 40), START_MS + 4000) > 0
 
 
-def test_a_gateway_uses_a_backend_that_has_started_in_its_life() -> None:
+def test_a_gateway_uses_a_backend_that_has_started_after_it() -> None:
     g = gateway(1)
     g.handle(
         START_MS + 500, endpoint_list_update(FIRST_COLD, kind=UpdateKind.CHANGES, up=START_MS + 500)
@@ -275,14 +287,14 @@
     assert sent_to_cold(g, range(20), START_MS + 1000) > 0
 
 
-def test_a_share_is_for_any_window_not_for_one_that_begins_anew() -> None:
+def test_a_share_limits_every_window_not_only_one_per_period() -> None:
     g = before_a_cold_start(START_MS + 10_000)
     slow_start = g.load_balancer.slow_start
     backend = g.endpoints.backends[FIRST_COLD]
     numbers = count()
 
-    def use_up(now: float) -> int:
-        """Send requests of mean work until no more are admitted; return how many."""
+    def send_until_refused(now: float) -> int:
+        """Send requests of mean work until one is refused; return their number."""
         work_ms = g.estimate.long_term_mean_work_ms
         sent = 0
         while slow_start.admits(now, backend, work_ms):
@@ -291,13 +303,13 @@
         return sent
 
     end_of_period = 15_000.0
-    first = use_up(end_of_period - 1)
+    first = send_until_refused(end_of_period - 1)
     assert first > 2
-    assert use_up(end_of_period + 1) <= 1  # the share may have grown by one
-    assert use_up(end_of_period + 3100) >= first
+    assert send_until_refused(end_of_period + 1) <= 1  # the share may have grown by one
+    assert send_until_refused(end_of_period + 3100) >= first
 
 
-def test_an_attempt_counts_from_when_it_is_written() -> None:
+def test_the_work_of_an_attempt_counts_from_when_it_is_written() -> None:
     g = before_a_cold_start(START_MS + 10_000)
     now = START_MS + 11_000
     sends = [
--- a/tests/policy/test_slow_start_property.py
+++ b/tests/policy/test_slow_start_property.py
@@ -1,6 +1,6 @@
-"""Gateways that know of a start keep to two thirds of what the backend bears, in every window.
+"""Gateways that know of a start send two thirds of the tolerated load at most, in any window.
 
-So it is never they that make it fall, whatever late gateways add (see slow_start_budget.py).
+So a failure is never due to them, whatever late gateways add (see slow_start_budget.py).
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from tests.support.fleet_simulation import FleetSimulation
 from tests.support.simulated_backend import Scenario
 
-FLEETS = range(36)
-MIN_MEAN_USE = 0.1
+SEEDS = range(36)
+MIN_MEAN_UTILIZATION = 0.1
 
 
 def draw_scenario(seed: int) -> Scenario:
-    """Return a fleet under pressure, of settings from all of their range."""
+    """Return a heavily loaded fleet, with settings drawn from their whole range."""
     random = Random(seed)
     backends = random.randint(3, 14)
     scenario = Scenario(
@@ -44,28 +44,29 @@
         reports=random.random() < 0.5,
     )
     if random.random() < 0.3:
-        # they bear any load while warm, and their reports say nothing of what they bear while cold
+        # Backends without queues tolerate any load while warm, so their load reports say nothing
+        # about what they tolerate while cold.
         return replace(scenario, queues=False, reports=False, load=3 * scenario.load)
     return scenario
 
 
-@pytest.mark.parametrize("seed", FLEETS)
-def test_notified_gateways_leave_a_third_of_what_a_starting_backend_bears(seed: int) -> None:
+@pytest.mark.parametrize("seed", SEEDS)
+def test_notified_gateways_send_two_thirds_of_the_tolerated_load_at_most(seed: int) -> None:
     scenario = draw_scenario(seed)
     simulation = FleetSimulation(scenario, seed).run()
-    fullest = max(backend.peak_notified_window_load() for backend in simulation.cold)
-    print(f"{scenario}: fullest window {fullest:.2f} of what it bears")
-    assert fullest <= NOTIFIED_FRACTION
+    peak_load = max(backend.peak_notified_window_load() for backend in simulation.cold)
+    print(f"{scenario}: highest load in a window {peak_load:.2f} of the tolerated load")
+    assert peak_load <= NOTIFIED_FRACTION
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_fleet_of_gateways_that_each_believe_to_be_the_only_one_breaks_the_bound(
+def test_gateways_that_each_use_the_whole_budget_exceed_the_bound(
     seed: int,
 ) -> None:
     scenario = Scenario(30, 6, 2, 1.6, cores=1, late_fraction=0.0, overload_factor=1.3)
     simulation = FleetSimulation(scenario, seed, gateways=1, index=0).run()
-    fullest = max(backend.peak_notified_window_load() for backend in simulation.cold)
-    assert fullest > NOTIFIED_FRACTION
+    peak_load = max(backend.peak_notified_window_load() for backend in simulation.cold)
+    assert peak_load > NOTIFIED_FRACTION
 
 
 @given(
@@ -74,7 +75,7 @@
     roundings=st.tuples(*[st.floats(0, 1, exclude_max=True)] * 2),
     shifts=st.tuples(*[st.integers(0, 6999)] * 2),
 )
-def test_shares_of_two_periods_that_meet_in_a_window_keep_the_bound(
+def test_shares_of_two_periods_in_one_window_stay_within_the_bound(
     expected: float, gateways: int, roundings: tuple[float, float], shifts: tuple[int, int]
 ) -> None:
     units = [window_units(expected, gateways, rounding) for rounding in roundings]
@@ -89,7 +90,5 @@
 
 
 @given(expected=st.floats(0, 1e5), more=st.floats(0, 1e4))
-def test_a_backend_that_can_do_more_than_is_known_bears_no_less(
-    expected: float, more: float
-) -> None:
+def test_tolerated_requests_do_not_fall_with_capacity(expected: float, more: float) -> None:
     assert tolerated_requests(expected) <= tolerated_requests(expected + more) * (1 + 1e-12)
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsets are even, few of their pairs change with a backend, and they stay within a partition."""
+"""Subsets are even and within a partition, and few pairs change when a backend does."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
 
 
 def random_backends(count: int, seed: int = 1) -> list[int]:
-    draw = Random(seed)
-    return [draw.getrandbits(48) for _ in range(count)]
+    random = Random(seed)
+    return [random.getrandbits(48) for _ in range(count)]
 
 
 def subset_of(
     gateways: int, backends: list[int], index: int = 0, partition_count: int = 1
 ) -> Subset:
-    """Return the subset of a gateway to which all these backends are ready."""
+    """Return the subset of a gateway for which all these backends are ready."""
     subset = Subset(gateways, index, partition_count)
     for backend in backends:
         subset.set_ready(backend, True)
@@ -57,7 +57,7 @@
 
 
 def assigned_pairs(subset: Subset) -> frozenset[tuple[int, int]]:
-    """Return the pairs of a gateway and a backend of its subset."""
+    """Return all pairs of a gateway and a backend of its subset."""
     return frozenset(
         (gateway, backend)
         for gateway, backends in enumerate(subset.assign().subsets)
@@ -88,34 +88,38 @@
     assert counted == gateway_counts
 
 
-# By rank in a ring it was 14, 77, 84 and 23 here, and grew with the fleet.
+# Assignment by rank in a ring changed 14, 77, 84 and 23 pairs here, and more in larger fleets.
 @pytest.mark.parametrize(
-    ("gateways", "backends", "most"), [(40, 60, 13), (200, 200, 14), (300, 70, 65), (54, 773, 9)]
+    ("gateways", "backends", "max_new_pairs"),
+    [(40, 60, 13), (200, 200, 14), (300, 70, 65), (54, 773, 9)],
 )
 def test_a_replaced_backend_changes_few_other_pairs(
-    gateways: int, backends: int, most: int
+    gateways: int, backends: int, max_new_pairs: int
 ) -> None:
     listed = random_backends(backends)
-    draw = Random(2)
+    random = Random(2)
     subset = subset_of(gateways, listed)
     before = assigned_pairs(subset)
     new_pairs = 0
     for _ in range(20):
-        position = draw.randrange(backends)
+        position = random.randrange(backends)
         subset.set_ready(listed[position], False)
-        listed[position] = draw.getrandbits(48)
+        listed[position] = random.getrandbits(48)
         subset.set_ready(listed[position], True)
         after = assigned_pairs(subset)
         new_pairs += len(after - before)
         before = after
-    assert new_pairs / 20 <= most
+    assert new_pairs / 20 <= max_new_pairs
 
 
 @pytest.mark.parametrize(("gateways", "backends"), [(6900, 200), (1000, 900), (3000, 1)])
-def test_the_shards_of_a_large_fleet_share_out_the_gateways_of_a_backend(
+def test_shards_of_a_large_fleet_divide_the_gateways_of_a_backend(
     gateways: int, backends: int
 ) -> None:
-    """As one shard, 6,900 gateways of 200 backends took a tenth of a second for each change."""
+    """Guard against slow updates.
+
+    As one shard, 6,900 gateways of 200 backends took a tenth of a second for each change.
+    """
     listed = random_backends(backends)
     gateway_counts = dict.fromkeys(listed, 0)
     subsets = []
@@ -137,7 +141,7 @@
     assert max(gateway_counts.values()) <= max(2 * MIN_SUBSET_SIZE, 1.4 * fewest_gateways)
 
 
-def test_the_same_list_gives_the_same_pairs_whatever_came_before() -> None:
+def test_the_same_list_gives_the_same_pairs_after_any_history() -> None:
     listed = random_backends(60)
     earlier = random_backends(30, seed=2)
     direct = subset_of(40, listed)
@@ -152,7 +156,7 @@
     assert direct.members() == direct.assign().subsets[0]
 
 
-def test_a_hash_that_is_handed_over_changes_nothing() -> None:
+def test_a_precomputed_hash_gives_the_same_result() -> None:
     listed = random_backends(60)
     subset = Subset(40, 0)
     for backend in listed:
@@ -162,8 +166,8 @@
     assert subset.ready == subset_of(40, listed[1:]).ready
 
 
-def test_a_fleet_of_the_planned_size_is_assigned_evenly_and_survives_the_loss_of_a_zone() -> None:
-    """6,900 gateways, 99,000 backends in 21 zones: no backend has much fewer gateways."""
+def test_the_planned_fleet_is_assigned_evenly_and_keeps_most_backends_without_a_zone() -> None:
+    """Check 6,900 gateways and 99,000 backends in 21 zones; backends have 3 to 5 gateways each."""
     gateways = 6900
     listed = random_backends(99_000)
     partition = Partition(gateways, 0)
@@ -191,7 +195,7 @@
     """Return the backends of each partition."""
     partitions: list[list[int]] = [[] for _ in range(partition_count)]
     for backend in listed:
-        # Of two partitions one holds it, and so on however often these are divided.
+        # Partitions are split in two, so a backend stays in the same half of them.
         (half,) = [index for index in range(2) if Partition(gateways, index, 2).contains(backend)]
         for index in range(half, partition_count, 2):
             if Partition(gateways, index, partition_count).contains(backend):
@@ -200,7 +204,7 @@
     return partitions
 
 
-def test_what_one_gateway_holds_does_not_grow_with_the_fleet() -> None:
+def test_the_size_of_a_partition_does_not_grow_with_the_fleet() -> None:
     for gateways, backends in [(200, 200), (690, 9900), (6900, 99_000), (20_000, 300_000)]:
         partition = Partition(gateways, gateways // 2)
         partition.split_to_fit(backends)
@@ -262,7 +266,10 @@
 
 
 def test_a_keyed_retry_can_choose_backends_of_its_group_outside_the_subset() -> None:
-    """A subset has hardly one of the 30 backends of a zone; the retry has three to choose from."""
+    """Guard against retries without a choice of backends.
+
+    A subset contains about one of the 30 backends of a zone; the retry can choose among three.
+    """
     zones = {backend: backend % 30 for backend in range(1, 901)}
     endpoints = [Endpoint(backend, zone=zone, cell=zone) for backend, zone in zones.items()]
     for index in range(0, 900, 90):
@@ -277,7 +284,7 @@
         assert len(g.load_balancer.candidates(g.pending[1])) == MIN_SUBSET_SIZE
 
 
-def test_no_more_candidates_are_compared_in_a_large_partition() -> None:
+def test_number_of_candidates_is_bounded_in_a_large_partition() -> None:
     g = gateway(*random_backends(1000), gateways=40, classes=(IDEMPOTENT_CLASS,))
     g.handle(START_MS, request_arrived(1))
     assert len(g.endpoints.subset.members()) > MAX_CANDIDATES
