--- a/sumacpost/diagnostics/event_recorder.py
+++ b/sumacpost/diagnostics/event_recorder.py
@@ -43,7 +43,8 @@
         kind: what has happened.
         reason: why it happened, or its result; a single word, because events are counted by it.
         subject: what the event concerns: the id of a request, the address of a peer, the target of
-            a refused request, or the subject of a drain phase.
+            a refused request (empty if the request could not be read), or the subject of a drain
+            phase.
         detail: further fields of the log line, as a %-format string for `values`.
         values: the values for `detail`; formatted only if the event is logged.
     """
--- a/sumacpost/errors.py
+++ b/sumacpost/errors.py
@@ -21,7 +21,8 @@
 
     Attributes:
         status: the HTTP status of the response.
-        reason: the reason for the rejection; becomes the body of the response.
+        reason: the reason for the rejection; becomes the body of the response. It is only logged if
+            the input is not a valid HTTP message or exceeds a limit of the request reader.
     """
 
     def __init__(self, status: int, reason: str) -> None:
--- a/tests/test_attempt_rules.py
+++ b/tests/test_attempt_rules.py
@@ -29,8 +29,8 @@
 ) -> None:
     """The time left must exclude the wait for a connection.
 
-    If it is computed when the attempt is started, the backend is given up to the connect timeout
-    too much; 0.15 s are allowed.
+    If it is computed when the attempt is started, the timeout that is forwarded to the backend is
+    too long by up to the connect timeout; the soak allows 0.15 s.
     """
 
     async def test() -> None:
