--- a/fleetlab/command.py
+++ b/fleetlab/command.py
@@ -20,10 +20,10 @@
     MAX_RATE,
     MAX_REPLACEMENTS,
     MAX_SOAK_INGRESSES,
-    OUT,
-    POINTS,
-    SECONDS,
-    SEED,
+    OUT_OPTION,
+    POINTS_OPTION,
+    SECONDS_RANGE,
+    SEED_OPTION,
     make_grid,
     parse_seeds,
     parse_sizes,
@@ -37,10 +37,10 @@
     Figures,
     Result,
     ResultError,
-    append,
-    read,
-    this_commit,
-    this_machine,
+    append_result,
+    current_commit,
+    describe_machine,
+    read_results,
 )
 from fleetlab.slopes import Slope, fit
 from fleetlab.soak import planted_faults
@@ -59,7 +59,7 @@
 
 
 @cli.command()
-@OUT
+@OUT_OPTION
 @click.option(
     "--axis",
     "axes",
@@ -67,17 +67,17 @@
     type=click.Choice(list(DEFAULT_POINTS)),
     help="All, if none is named.",
 )
-@POINTS
-@click.option("--seconds", default=5.0, type=SECONDS, help="Measured at each point.")
-@SEED
+@POINTS_OPTION
+@click.option("--seconds", default=5.0, type=SECONDS_RANGE, help="Measured at each point.")
+@SEED_OPTION
 def sweep(
     out: Path, axes: tuple[str, ...], points: tuple[int, ...], seconds: float, seed: int
 ) -> None:
     """Measure a grid of sizes with synthetic ingresses; each result is written at once."""
     grid = make_grid(axes, points)
     out.mkdir(parents=True, exist_ok=True)
-    commit = this_commit()
-    machine = this_machine()
+    commit = current_commit()
+    machine = describe_machine()
     console = Console(stderr=True)
     for point in grid:
         note = ""
@@ -87,7 +87,7 @@
         except MemoryLimitError as error:
             note = str(error)
         result = Result("sweep", point.axis, point.size, seed, figures, commit, machine, note)
-        append(out / f"{point.axis}.jsonl", result)
+        append_result(out / f"{point.axis}.jsonl", result)
         shown = {name: round(value, 3) for name, value in figures.items() if value is not None}
         console.print(
             f"{point.axis} {point.size}: {note or shown}", highlight=False, soft_wrap=True
@@ -107,7 +107,7 @@
 
 
 @cli.command()
-@OUT
+@OUT_OPTION
 @click.option(
     "--backends",
     default=200,
@@ -121,7 +121,7 @@
     help="How discovery responds.",
 )
 @click.option(
-    "--seconds", default=10.0, type=SECONDS, help="To get ready in, and of requests then."
+    "--seconds", default=10.0, type=SECONDS_RANGE, help="To get ready in, and of requests then."
 )
 @click.option(
     "--known",
@@ -143,7 +143,7 @@
     type=click.FloatRange(0, MAX_CHANGES_PER_S),
     help="Changes of the list, a second.",
 )
-@SEED
+@SEED_OPTION
 def real(out: Path, mode: str, **options: Unpack[_RealOptions]) -> None:
     """Run one real ingress before stand-in servers, and measure it from outside."""
     out.mkdir(parents=True, exist_ok=True)
@@ -158,9 +158,18 @@
         if figures["ready_s"] is None:
             note = f"never ready within {run.seconds:g} s"
     axis = "real" if run.mode is ResponseMode.GOOD else f"real-{mode}"
-    append(
+    append_result(
         out / f"{axis}.jsonl",
-        Result("real", axis, run.backends, run.seed, figures, this_commit(), this_machine(), note),
+        Result(
+            "real",
+            axis,
+            run.backends,
+            run.seed,
+            figures,
+            current_commit(),
+            describe_machine(),
+            note,
+        ),
     )
     if note:
         Console(stderr=True).print(note, highlight=False, soft_wrap=True)
@@ -171,10 +180,10 @@
 
 
 @cli.command()
-@OUT
+@OUT_OPTION
 @click.option(
     "--sizes",
-    "text",
+    "sizes_text",
     default=",".join(f"{size.gateways}x{size.backends}" for size in pair_model.DEFAULT_SIZES),
     help="Gateways x backends, with commas between.",
 )
@@ -184,13 +193,13 @@
     type=click.IntRange(1, MAX_REPLACEMENTS),
     help="Backends replaced in turn.",
 )
-@SEED
-def pairs(out: Path, text: str, replacements: int, seed: int) -> None:
+@SEED_OPTION
+def pairs(out: Path, sizes_text: str, replacements: int, seed: int) -> None:
     """Model which gateways have which backends: by rank, as before, and by subset, as now."""
-    sizes = parse_sizes(text)
+    sizes = parse_sizes(sizes_text)
     out.mkdir(parents=True, exist_ok=True)
-    commit = this_commit()
-    machine = this_machine()
+    commit = current_commit()
+    machine = describe_machine()
     names = pair_model.PairFigures.__struct_fields__
     table = Table(*(name.replace("_", " ") for name in names), title=f"seed {seed}")
     for size in sizes:
@@ -201,13 +210,13 @@
             }
             axis = f"pairs-{scheme}"
             result = Result("pairs", axis, size.backends, seed, figures, commit, machine)
-            append(out / f"{axis}.jsonl", result)
+            append_result(out / f"{axis}.jsonl", result)
             table.add_row(scheme, *(f"{value:,.4g}" for value in figures.values()))
     _wide_console().print(table)
 
 
 @cli.command()
-@OUT
+@OUT_OPTION
 @click.option("--seeds", default="1:3", help="From the first to the last, as FIRST:LAST.")
 @click.option(
     "--ingresses",
@@ -215,7 +224,7 @@
     type=click.IntRange(0, MAX_SOAK_INGRESSES),
     help="Processes of each run; 0: drawn for each seed.",
 )
-@click.option("--seconds", default=12.0, type=SECONDS, help="Of load, in each run.")
+@click.option("--seconds", default=12.0, type=SECONDS_RANGE, help="Of load, in each run.")
 def soak(out: Path, seeds: str, ingresses: int, seconds: float) -> None:
     """Play randomized faults on real ingresses, and judge each run by the rules."""
     violations = 0
@@ -245,7 +254,7 @@
 @click.argument("folder", type=click.Path(exists=True, path_type=Path))
 def slopes(folder: Path) -> None:
     """Fit a line through each figure of each axis, and show what it says at the plan's size."""
-    results = read(folder)
+    results = read_results(folder)
     if not results:
         raise click.UsageError(f"{str(folder)!r} holds no results")
     table = Table(*(field.name for field in fields(Slope)))
@@ -275,9 +284,9 @@
     try:
         cli.main(args=arguments, prog_name="fleetlab", standalone_mode=False)
     except click.ClickException as error:
-        return _fail(error.format_message())
+        return _print_error(error.format_message())
     except (ResultError, OSError) as error:
-        return _fail(str(error))
+        return _print_error(str(error))
     except InterruptedRunError as error:
         print("fleetlab: interrupted; all that was started has been ended", file=sys.stderr)
         return EXIT_SIGNAL_BASE + error.signum
@@ -286,6 +295,6 @@
     return 0
 
 
-def _fail(message: str) -> int:
+def _print_error(message: str) -> int:
     print("fleetlab: " + " ".join(message.split()), file=sys.stderr)
     return EXIT_USAGE
--- a/fleetlab/command_options.py
+++ b/fleetlab/command_options.py
@@ -43,18 +43,18 @@
     return path
 
 
-SECONDS = click.FloatRange(0, MAX_SECONDS, min_open=True)
-OUT = click.option(
+SECONDS_RANGE = click.FloatRange(0, MAX_SECONDS, min_open=True)
+OUT_OPTION = click.option(
     "--out",
     required=True,
     type=click.Path(path_type=Path),
     callback=_check_folder,
     help="Folder of the result files; made if need be.",
 )
-POINTS = click.option(
+POINTS_OPTION = click.option(
     "--points", callback=_parse_points, help="Sizes, with commas between; needs one --axis."
 )
-SEED = click.option(
+SEED_OPTION = click.option(
     "--seed", default=0, type=click.IntRange(0, MAX_SEED), help="Of lists and requests."
 )
 
@@ -95,12 +95,12 @@
             sizes.append(FleetSize(int(gateways), int(backends)))
         except ValueError:
             raise click.UsageError(f"--sizes: {text!r} is not gateways x backends") from None
-    if len(sizes) > MAX_POINT_COUNT or not all(_is_playable(size) for size in sizes):
+    if len(sizes) > MAX_POINT_COUNT or not all(_is_within_limits(size) for size in sizes):
         raise click.UsageError(f"--sizes: {text!r} has a size that is too large, or none")
     return sizes
 
 
-def _is_playable(size: FleetSize) -> bool:
+def _is_within_limits(size: FleetSize) -> bool:
     return 1 <= size.gateways <= MAX_GATEWAYS and 1 <= size.backends <= MAX_BACKENDS
 
 
--- a/fleetlab/counter_server.py
+++ b/fleetlab/counter_server.py
@@ -12,8 +12,8 @@
 MIN_TTL_MS = 1.0
 MAX_NAME_BYTES = 64
 MAX_AMOUNT = 1e9
-MAX_WORDS = 16  # of a call
-MAX_WORD_BYTES = 1024
+MAX_CALL_STRINGS = 16  # of a call
+MAX_BULK_STRING_BYTES = 1024
 MAX_QUEUED_REPLIES = 10_000  # of a connection
 PURGE_INTERVAL = 10_000  # calls between two purges of expired totals
 
@@ -57,8 +57,8 @@
         if rate <= 0 or shards < 1:
             raise ValueError(f"a counter of {rate} calls a second in {shards} shards")
         super().__init__()
-        self.calls = 0  # additions made
-        self.busy = 0  # additions rejected
+        self.additions = 0  # additions made
+        self.rejected_additions = 0  # additions rejected
         self.bytes_written = 0
         self.totals: dict[bytes, Total] = {}
         self.address = ""  # host and port, from the start on
@@ -82,15 +82,15 @@
         finally:
             writing.cancel()
 
-    def _execute(self, words: list[bytes]) -> _Reply:
+    def _execute(self, strings: list[bytes]) -> _Reply:
         now = self._loop.time()
-        match words[0].upper():
+        match strings[0].upper():
             case b"PING":
                 return _Reply(now, b"+PONG\r\n")
             case b"CLIENT" | b"SELECT":
                 return _Reply(now, b"+OK\r\n")
             case b"ADDGET":
-                addition = _parse_addition(words)
+                addition = _parse_addition(strings)
                 if addition is not None:
                     return self._add(addition, now)
         return _Reply(now, _UNKNOWN_CALL)
@@ -99,16 +99,16 @@
         shard = zlib.crc32(addition.name) % len(self._free_at)
         due_at = max(now, self._free_at[shard]) + self._call_s
         if due_at - now > self._max_wait_s:
-            self.busy += 1
+            self.rejected_additions += 1
             return _Reply(now, _BUSY)
         self._free_at[shard] = due_at
-        self.calls += 1
+        self.additions += 1
         total = self.totals.get(addition.name)
         if total is None or total.expires_at <= now:
             total = Total(0.0, now + addition.ttl_s)
             self.totals[addition.name] = total
         total.value += addition.amount
-        if self.calls % PURGE_INTERVAL == 0:
+        if self.additions % PURGE_INTERVAL == 0:
             self._purge(now)
         text = b"%.7g" % total.value
         return _Reply(due_at, b"$%d\r\n%b\r\n" % (len(text), text))
@@ -134,16 +134,16 @@
             writer.close()
 
 
-def _parse_addition(words: list[bytes]) -> _Addition | None:
+def _parse_addition(strings: list[bytes]) -> _Addition | None:
     """Return the addition that an ADDGET asks for; None if its arguments are out of bounds."""
     try:
-        _, name, amount_text, ttl_text = words
+        _, name, amount_text, ttl_text = strings
         amount = float(amount_text)
         ttl_ms = min(float(ttl_text), MAX_TTL_MS)
     except ValueError:
         return None
-    named = 1 <= len(name) <= MAX_NAME_BYTES
-    if not (named and abs(amount) <= MAX_AMOUNT and ttl_ms >= MIN_TTL_MS):
+    name_valid = 1 <= len(name) <= MAX_NAME_BYTES
+    if not (name_valid and abs(amount) <= MAX_AMOUNT and ttl_ms >= MIN_TTL_MS):
         return None
     return _Addition(name, amount, ttl_ms / 1000)
 
@@ -151,14 +151,14 @@
 async def _read_call(reader: asyncio.StreamReader) -> list[bytes]:
     """Return the words of one call; ValueError if what comes is none."""
     count = await _read_length(reader, b"*")
-    if not 1 <= count <= MAX_WORDS:
+    if not 1 <= count <= MAX_CALL_STRINGS:
         raise ValueError(f"a call of {count} words")
-    return [await _read_word(reader) for _ in range(count)]
+    return [await _read_bulk_string(reader) for _ in range(count)]
 
 
-async def _read_word(reader: asyncio.StreamReader) -> bytes:
+async def _read_bulk_string(reader: asyncio.StreamReader) -> bytes:
     size = await _read_length(reader, b"$")
-    if not 0 <= size <= MAX_WORD_BYTES:
+    if not 0 <= size <= MAX_BULK_STRING_BYTES:
         raise ValueError(f"a word of {size} bytes")
     return (await reader.readexactly(size + 2))[:-2]
 
--- a/fleetlab/counting_loop.py
+++ b/fleetlab/counting_loop.py
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.received: dict[int | None, int] = {}
+        self.received_bytes: dict[int | None, int] = {}
 
     async def create_connection(  # type: ignore[override]
         self,
@@ -59,12 +59,12 @@
         """
 
         def count(size: int) -> None:
-            self.received[port] = self.received.get(port, 0) + size
+            self.received_bytes[port] = self.received_bytes.get(port, 0) + size
 
         inner = protocol_factory()
         # Any, as uvloop's overloads are for an address or a socket, but not for either.
-        where: dict[str, Any] = {"host": host, "port": port, "sock": sock}
+        destination: dict[str, Any] = {"host": host, "port": port, "sock": sock}
         transport, _ = await super().create_connection(
-            lambda: _CountingProtocol(inner, count), **where
+            lambda: _CountingProtocol(inner, count), **destination
         )
         return transport, inner
--- a/fleetlab/discovery_server.py
+++ b/fleetlab/discovery_server.py
@@ -130,10 +130,10 @@
                 await self._write_oversized(writer)
                 return False
             case ResponseMode.TRUNCATED:
-                body = self._body(known_version)
+                body = self._encode_body(known_version)
                 await self._write_response(writer, body[: len(body) // 2], len(body))
                 return False
-        body = self._body(known_version)
+        body = self._encode_body(known_version)
         await self._write_response(writer, body, len(body))
         return True
 
@@ -155,7 +155,7 @@
                     await self._changed.wait()
         return known_version
 
-    def _body(self, known_version: int | None) -> bytes:
+    def _encode_body(self, known_version: int | None) -> bytes:
         match self.mode:
             case ResponseMode.DEEPLY_NESTED:
                 nested = b"[" * NESTING_DEPTH + b"]" * NESTING_DEPTH
@@ -200,7 +200,7 @@
     async def _endless_chunks(self) -> AsyncIterator[bytes]:
         yield b'{"rev":1,"all":true,"targets":['
         while True:
-            yield self._list.first_encoded(ENDLESS_CHUNK_ENTRIES) + b","
+            yield self._list.encoded_prefix(ENDLESS_CHUNK_ENTRIES) + b","
             await asyncio.sleep(ENDLESS_PAUSE_S)
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
--- a/fleetlab/interrupts.py
+++ b/fleetlab/interrupts.py
@@ -33,7 +33,7 @@
     which there is none of once the work has ended, and uvloop's handlers stay behind when it is
     closed and swallow all later signals.
     """
-    caught: list[int] = []
+    caught_signals: list[int] = []
 
     async def main() -> Value:
         loop = asyncio.get_running_loop()
@@ -42,8 +42,8 @@
 
         def interrupt(signum: int, _frame: FrameType | None) -> None:
             # A second signal must not cut the ending of processes short.
-            if not caught:
-                caught.append(signum)
+            if not caught_signals:
+                caught_signals.append(signum)
                 if not loop.is_closed():
                     loop.call_soon_threadsafe(task.cancel)
 
@@ -51,15 +51,15 @@
             signal.signal(signum, interrupt)
         return await work
 
-    before = {signum: signal.getsignal(signum) for signum in _SIGNALS}
+    previous_handlers = {signum: signal.getsignal(signum) for signum in _SIGNALS}
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             value = runner.run(main())
     except asyncio.CancelledError:
-        raise InterruptedRunError(caught[0] if caught else signal.SIGINT) from None
+        raise InterruptedRunError(caught_signals[0] if caught_signals else signal.SIGINT) from None
     finally:
-        for signum, handler in before.items():
+        for signum, handler in previous_handlers.items():
             signal.signal(signum, handler)
-    if caught:
-        raise InterruptedRunError(caught[0])
+    if caught_signals:
+        raise InterruptedRunError(caught_signals[0])
     return value
--- a/fleetlab/json_lines.py
+++ b/fleetlab/json_lines.py
@@ -8,7 +8,7 @@
 import msgspec
 
 NEWLINE = b"\n"
-SEARCHED_BYTES = 64 * 1024  # read at a time to find the end of the last whole line
+SEARCH_BLOCK_BYTES = 64 * 1024  # read at a time to find the end of the last whole line
 
 
 def append_line(path: Path, value: object) -> None:
@@ -46,7 +46,7 @@
     """Return the size of the file without a last line that has no end."""
     end = os.fstat(descriptor).st_size
     while end:
-        start = max(0, end - SEARCHED_BYTES)
+        start = max(0, end - SEARCH_BLOCK_BYTES)
         newline_at = os.pread(descriptor, end - start, start).rfind(NEWLINE)
         if newline_at >= 0:
             return start + newline_at + 1
--- a/fleetlab/latency.py
+++ b/fleetlab/latency.py
@@ -13,15 +13,15 @@
     return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
-def percentile_ms(recorded: HdrHistogram, percent: float) -> float | None:
+def percentile_ms(histogram: HdrHistogram, percent: float) -> float | None:
     """Return a percentile in milliseconds; None if nothing was recorded."""
-    if not recorded.get_total_count():
+    if not histogram.get_total_count():
         return None
-    return float(recorded.get_value_at_percentile(percent) / 1000)
+    return float(histogram.get_value_at_percentile(percent) / 1000)
 
 
-def max_ms(recorded: HdrHistogram) -> float | None:
+def max_ms(histogram: HdrHistogram) -> float | None:
     """Return the greatest latency in milliseconds; None if nothing was recorded."""
-    if not recorded.get_total_count():
+    if not histogram.get_total_count():
         return None
-    return float(recorded.get_max_value() / 1000)
+    return float(histogram.get_max_value() / 1000)
--- a/fleetlab/load_generator.py
+++ b/fleetlab/load_generator.py
@@ -90,7 +90,7 @@
         connection = None
         try:
             async with asyncio.timeout_at(intended_at + REQUEST_TIMEOUT_S + TIMEOUT_GRACE_S):
-                connection = await self._acquire()
+                connection = await self._acquire_connection()
                 status = await connection.request(message)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             if connection is not None:
@@ -103,7 +103,7 @@
         self._idle.append(connection)
         return status
 
-    async def _acquire(self) -> HttpConnection:
+    async def _acquire_connection(self) -> HttpConnection:
         if self._idle:
             return self._idle.pop()
         return await HttpConnection.open(self._address)
--- a/fleetlab/monitors.py
+++ b/fleetlab/monitors.py
@@ -19,7 +19,7 @@
     """The greatest delay of this process's event loop: measured latencies include it."""
 
     def __init__(self) -> None:
-        self.worst_ms = 0.0
+        self.max_lag_ms = 0.0
 
     async def run(self) -> None:
         """Measure until cancelled."""
@@ -27,7 +27,7 @@
         while True:
             due = loop.time() + LAG_INTERVAL_S
             await asyncio.sleep(LAG_INTERVAL_S)
-            self.worst_ms = max(self.worst_ms, (loop.time() - due) * 1000)
+            self.max_lag_ms = max(self.max_lag_ms, (loop.time() - due) * 1000)
 
 
 def cpu_pressure_s() -> float:
@@ -52,7 +52,7 @@
         self._connection: HttpConnection | None = None
 
     @property
-    def worst_ms(self) -> float | None:
+    def max_latency_ms(self) -> float | None:
         """The greatest latency; None before the first response."""
         return max_ms(self.latency)
 
--- a/fleetlab/pairs.py
+++ b/fleetlab/pairs.py
@@ -79,9 +79,9 @@
         self.partition_count = first.partition_count
         indexes = range(self.partition_count)
         self._partitions = [Partition(gateways, index, self.partition_count) for index in indexes]
-        self._shards = [self._shards_of(gateways, index) for index in indexes]
+        self._shards = [self._make_shards(gateways, index) for index in indexes]
 
-    def _shards_of(self, gateways: int, index: int) -> list[Subset]:
+    def _make_shards(self, gateways: int, index: int) -> list[Subset]:
         first = Subset(gateways, index, self.partition_count)
         return [
             Subset(gateways, index + shard * self.partition_count, self.partition_count)
@@ -133,14 +133,14 @@
     """
     fleet = _new_scheme(scheme, gateways, backends)
     random = Random(seed)
-    listed = [random.getrandbits(48) for _ in range(backends)]
-    for backend in listed:
+    backend_ids = [random.getrandbits(48) for _ in range(backends)]
+    for backend in backend_ids:
         fleet.set_ready(backend, True)
     subsets = list(fleet.subsets())
-    zones = {backend: number % ZONES for number, backend in enumerate(listed)}
-    users = _count_users(listed, subsets)
-    widths = [len(subset) for subset in subsets]
-    new_pairs = _replace(fleet, listed, _pairs(subsets), random, replacements)
+    zones = {backend: number % ZONES for number, backend in enumerate(backend_ids)}
+    users = _count_users(backend_ids, subsets)
+    subset_sizes = [len(subset) for subset in subsets]
+    new_pairs = _replace_backends(fleet, backend_ids, _collect_pairs(subsets), random, replacements)
     return PairFigures(
         scheme=scheme,
         gateways=gateways,
@@ -150,10 +150,10 @@
         users_least=min(users),
         users_mean=float(np.mean(users)),
         users_most=max(users),
-        kept_least=min(widths),
-        kept_mean=float(np.mean(widths)),
-        kept_most=max(widths),
-        left_least=min(_share_left(subset, zones) for subset in subsets),
+        kept_least=min(subset_sizes),
+        kept_mean=float(np.mean(subset_sizes)),
+        kept_most=max(subset_sizes),
+        left_least=min(_share_after_zone_failure(subset, zones) for subset in subsets),
     )
 
 
@@ -166,30 +166,30 @@
     raise ValueError(f"{scheme!r} is not one of {', '.join(SCHEMES)}")
 
 
-def _pairs(subsets: Iterable[list[int]]) -> frozenset[tuple[int, int]]:
+def _collect_pairs(subsets: Iterable[list[int]]) -> frozenset[tuple[int, int]]:
     return frozenset(
         (gateway, backend) for gateway, subset in enumerate(subsets) for backend in subset
     )
 
 
-def _count_users(listed: Iterable[int], subsets: Iterable[list[int]]) -> list[int]:
+def _count_users(backend_ids: Iterable[int], subsets: Iterable[list[int]]) -> list[int]:
     """Return, for each listed backend, the number of subsets that it is in."""
-    users = dict.fromkeys(listed, 0)
+    users = dict.fromkeys(backend_ids, 0)
     for subset in subsets:
         for backend in subset:
             users[backend] += 1
     return list(users.values())
 
 
-def _share_left(subset: list[int], zones: dict[int, int]) -> float:
+def _share_after_zone_failure(subset: list[int], zones: dict[int, int]) -> float:
     """Return the share of a subset that is left when the zone with most of it fails."""
     by_zone = np.bincount([zones[backend] for backend in subset], minlength=ZONES)
     return float(1 - by_zone.max() / len(subset))
 
 
-def _replace(
+def _replace_backends(
     fleet: Scheme,
-    listed: list[int],
+    backend_ids: list[int],
     before: frozenset[tuple[int, int]],
     random: Random,
     replacements: int,
@@ -197,11 +197,11 @@
     """Replace backends one by one, in the list too; return the number of new pairs of each."""
     new_pairs = []
     for _ in range(replacements):
-        index = random.randrange(len(listed))
-        fleet.set_ready(listed[index], False)
-        listed[index] = random.getrandbits(48)
-        fleet.set_ready(listed[index], True)
-        after = _pairs(fleet.subsets())
+        index = random.randrange(len(backend_ids))
+        fleet.set_ready(backend_ids[index], False)
+        backend_ids[index] = random.getrandbits(48)
+        fleet.set_ready(backend_ids[index], True)
+        after = _collect_pairs(fleet.subsets())
         new_pairs.append(len(after - before))
         before = after
     return new_pairs
--- a/fleetlab/path_proxy.py
+++ b/fleetlab/path_proxy.py
@@ -8,7 +8,7 @@
 
 from fleetlab.stand_in import StandInServer, reset_connection, split_address
 
-PIECE_BYTES = 64 * 1024
+MAX_READ_BYTES = 64 * 1024
 
 
 class PathFault(Enum):
@@ -35,19 +35,19 @@
         self.delay_s = delay_s
         self._target = target
         self._fault = PathFault.NONE
-        self._fault_over = asyncio.Event()
+        self._fault_changed = asyncio.Event()
         self._clients: dict[asyncio.StreamWriter, None] = {}
 
     async def start(self) -> None:
         """Listen at an address of the system's choice."""
         self.address = await self._listen()
 
-    def begin_fault(self, fault: PathFault) -> None:
+    def set_fault(self, fault: PathFault) -> None:
         """Let the path fail from now on, instead of as before."""
         was_silent = self._fault is PathFault.SILENT
         self._fault = fault
-        self._fault_over.set()
-        self._fault_over = asyncio.Event()
+        self._fault_changed.set()
+        self._fault_changed = asyncio.Event()
         for client in list(self._clients):
             if was_silent or fault is PathFault.RESET:
                 reset_connection(cast(asyncio.Transport, client.transport))
@@ -77,11 +77,11 @@
 
     async def _forward(self, source: asyncio.StreamReader, to: asyncio.StreamWriter) -> None:
         """Forward one direction until it ends."""
-        while data := await source.read(PIECE_BYTES):
+        while data := await source.read(MAX_READ_BYTES):
             if self._fault is PathFault.DELAYED:
                 await asyncio.sleep(self.delay_s)
             while self._fault is PathFault.SILENT:
-                await self._fault_over.wait()
+                await self._fault_changed.wait()
             if to in self._clients and self._fault is PathFault.HALF_CLOSED:
                 continue
             to.write(data)
--- a/fleetlab/plan.py
+++ b/fleetlab/plan.py
@@ -10,12 +10,12 @@
 TENANTS = 150_000
 REGIONS = 7
 ZONES = 21
-ADDED_MS = 7.9  # to the latency of a request, at the 99th percentile
+MAX_ADDED_P99_MS = 7.9  # to the latency of a request, at the 99th percentile
 CONFIG_CHANGES_PER_DAY = 25_000
-IN_FORCE_S = 4.0  # until a change is in force everywhere
-CONTROL_CPU_PERCENT = 2.3  # of a core, for each ingress
-CONTROL_MB = 32.0  # for each ingress
-CONTROL_BYTES_PER_S = 3_000.0  # for each ingress
+MAX_PROPAGATION_S = 4.0  # until a change is in force everywhere
+MAX_CONTROL_CPU_PERCENT = 2.3  # of a core, for each ingress
+MAX_CONTROL_MB = 32.0  # for each ingress
+MAX_CONTROL_BYTES_PER_S = 3_000.0  # for each ingress
 CONTROL_MACHINES = 7
 MACHINES_FAILED_PER_DAY = 540
 MACHINES_REPLACED_PER_DAY = 24_000
@@ -39,14 +39,14 @@
 # The greatest value of a figure at the plan's size; the plan does not limit figures not named here.
 LIMITS: dict[str, float] = {
     "unheld_share": 0.0,
-    "held_mb": CONTROL_MB,
-    "peak_mb": CONTROL_MB,
-    "peak_over_200_mb": CONTROL_MB,
-    "control_cpu_percent": CONTROL_CPU_PERCENT,
-    "control_bytes_per_s": CONTROL_BYTES_PER_S,
-    "told_ms": IN_FORCE_S * 1000,
-    "in_force_s": IN_FORCE_S,
-    "added_p99_ms": ADDED_MS,
+    "held_mb": MAX_CONTROL_MB,
+    "peak_mb": MAX_CONTROL_MB,
+    "peak_over_200_mb": MAX_CONTROL_MB,
+    "control_cpu_percent": MAX_CONTROL_CPU_PERCENT,
+    "control_bytes_per_s": MAX_CONTROL_BYTES_PER_S,
+    "told_ms": MAX_PROPAGATION_S * 1000,
+    "in_force_s": MAX_PROPAGATION_S,
+    "added_p99_ms": MAX_ADDED_P99_MS,
 }
 
 # The points that a sweep measures on each axis unless others are named.
--- a/fleetlab/process_stats.py
+++ b/fleetlab/process_stats.py
@@ -9,7 +9,7 @@
 MEMINFO = Path("/proc/meminfo")
 KB_PER_MB = 1024
 MAX_MEMORY_SHARE = 1 / 2  # of the machine's memory, for a run
-MIN_FREE_SHARE = 1 / 8  # of the machine's memory, left by all programs
+MIN_AVAILABLE_SHARE = 1 / 8  # of the machine's memory, left by all programs
 
 # Of /proc/PID/stat, counted behind the name of the command.
 _USER_TIME_FIELD = 11
@@ -42,12 +42,12 @@
     return _read_field_mb(MEMINFO, "MemTotal")
 
 
-def check_memory(pids: Iterable[int], expected_mb: float = 0.0) -> None:
+def check_memory(pids: Iterable[int], estimated_mb: float = 0.0) -> None:
     """Raise MemoryLimitError if this process, those given and what is expected take too much.
 
     Too much is more than half of the machine's memory, or leaving less than an eighth of it free.
     """
-    used_mb = expected_mb
+    used_mb = estimated_mb
     for pid in (os.getpid(), *pids):
         try:
             used_mb += rss_mb(pid)
@@ -58,9 +58,11 @@
         raise MemoryLimitError(
             f"{used_mb:.0f} MB are more than half of the machine's {total_mb:.0f} MB"
         )
-    free_mb = _read_field_mb(MEMINFO, "MemAvailable")
-    if free_mb - expected_mb < total_mb * MIN_FREE_SHARE:
-        raise MemoryLimitError(f"only {free_mb:.0f} MB of the machine's {total_mb:.0f} MB are free")
+    available_mb = _read_field_mb(MEMINFO, "MemAvailable")
+    if available_mb - estimated_mb < total_mb * MIN_AVAILABLE_SHARE:
+        raise MemoryLimitError(
+            f"only {available_mb:.0f} MB of the machine's {total_mb:.0f} MB are free"
+        )
 
 
 def _read_field_mb(path: Path, name: str) -> float:
--- a/fleetlab/processes.py
+++ b/fleetlab/processes.py
@@ -11,7 +11,7 @@
 
 MAX_PROCESSES = 300
 TERMINATION_GRACE_S = 6.0  # from SIGTERM to SIGKILL
-KEPT_LINES = 500
+MAX_OUTPUT_LINES = 500
 
 
 class ChildProcess:
@@ -19,11 +19,11 @@
 
     def __init__(self, process: Process) -> None:
         self.process = process
-        self.out: deque[bytes] = deque(maxlen=KEPT_LINES)
-        self.err: deque[bytes] = deque(maxlen=KEPT_LINES)
+        self.stdout_lines: deque[bytes] = deque(maxlen=MAX_OUTPUT_LINES)
+        self.stderr_lines: deque[bytes] = deque(maxlen=MAX_OUTPUT_LINES)
         self._readers = [
-            asyncio.create_task(self._read_lines(process.stdout, self.out)),
-            asyncio.create_task(self._read_lines(process.stderr, self.err)),
+            asyncio.create_task(self._read_lines(process.stdout, self.stdout_lines)),
+            asyncio.create_task(self._read_lines(process.stderr, self.stderr_lines)),
         ]
 
     @property
@@ -47,8 +47,8 @@
         await asyncio.gather(*self._readers, return_exceptions=True)
 
 
-class ProcessGroup:
-    """Starts processes of this Python interpreter; `end` leaves none."""
+class ChildProcesses:
+    """Starts processes of this Python interpreter; `terminate_all` leaves none."""
 
     def __init__(self) -> None:
         self._children: list[ChildProcess] = []
@@ -81,7 +81,7 @@
             process.stdin.write(first_input)
         return child
 
-    async def end(self) -> None:
+    async def terminate_all(self) -> None:
         """Terminate each process by its id, and kill those that are left after the grace period."""
         for child in self._children:
             if child.running:
--- a/fleetlab/real.py
+++ b/fleetlab/real.py
@@ -10,7 +10,7 @@
 from fleetlab.real_session import RealSession
 from fleetlab.results import Figures
 
-EXPECTED_MB = 800.0  # of ingress, servers and load, to check memory beforehand
+ESTIMATED_RUN_MB = 800.0  # of ingress, servers and load, to check memory beforehand
 BASELINE_BACKENDS = 200
 BASELINE_MAX_SECONDS = 3.0
 
@@ -25,13 +25,13 @@
     Raise RuntimeError if the ingress ends, TimeoutError if it does not serve in time, and
     MemoryLimitError if the machine's memory doesn't suffice.
     """
-    check_memory([], EXPECTED_MB)
+    check_memory([], ESTIMATED_RUN_MB)
     async with start_environment(run) as environment:
         session = RealSession(run, environment)
         try:
             return await session.measure()
         finally:
-            await session.end()
+            await session.stop()
 
 
 async def measure_with_baseline(run: RealRun) -> Figures:
--- a/fleetlab/real_environment.py
+++ b/fleetlab/real_environment.py
@@ -38,7 +38,7 @@
     discovery: DiscoveryServer
     counter: CounterServer
     backends: BackendServers
-    direct: BackendServers  # a port that only the load without an ingress goes to
+    direct_backend: BackendServers  # a port that only the load without an ingress goes to
     entries: list[JsonObject]
 
 
@@ -46,10 +46,10 @@
 async def start_environment(run: RealRun) -> AsyncIterator[Environment]:
     """Start the servers; all are stopped whatever happens."""
     backends = BackendServers(BACKEND_PORTS)
-    direct = BackendServers(1)
+    direct_backend = BackendServers(1)
     counter = CounterServer()
     await backends.start()
-    await direct.start()
+    await direct_backend.start()
     await counter.start()
     entries = endpoint_entries(run.backends, backends.endpoints, run.seed)
     discovery = DiscoveryServer(entries, run.mode)
@@ -58,10 +58,10 @@
     gc.collect()
     gc.freeze()
     try:
-        yield Environment(discovery, counter, backends, direct, entries)
+        yield Environment(discovery, counter, backends, direct_backend, entries)
     finally:
         gc.unfreeze()
         await discovery.stop()
         await counter.stop()
         await backends.stop()
-        await direct.stop()
+        await direct_backend.stop()
--- a/fleetlab/real_session.py
+++ b/fleetlab/real_session.py
@@ -15,9 +15,9 @@
 from fleetlab.latency import percentile_ms
 from fleetlab.load_generator import NO_RESPONSE, LoadGenerator
 from fleetlab.monitors import HealthMonitor, LoopLagMonitor
-from fleetlab.plan import ADDED_MS, INGRESSES
+from fleetlab.plan import INGRESSES, MAX_ADDED_P99_MS
 from fleetlab.process_stats import check_memory, cpu_s, peak_mb, rss_mb
-from fleetlab.processes import ChildProcess, ProcessGroup
+from fleetlab.processes import ChildProcess, ChildProcesses
 from fleetlab.real_environment import Environment, RealRun
 from fleetlab.results import Figures
 from fleetlab.site import config_text
@@ -26,8 +26,8 @@
 START_POLL_S = 0.01
 DRAIN_WATCH_S = 6.0  # during which requests to a draining port are watched
 DRAIN_QUIET_S = 1.0  # without requests, at the end of that, for them to have stopped
-BUSIEST_WATCH_S = 1.0  # to find the port with most requests
-SETTLE_S = 0.3  # of load, before anything is counted
+BUSIEST_PORT_WATCH_S = 1.0  # to find the port with most requests
+LOAD_WARM_UP_S = 0.3  # of load, before anything is counted
 
 _SERVING = re.compile(rb"serving: name=\S* address=([\d.]+:\d+)")
 
@@ -49,16 +49,16 @@
         self._run = run
         self._environment = environment
         self._loop = asyncio.get_running_loop()
-        self._processes = ProcessGroup()
+        self._processes = ChildProcesses()
         self._tasks: list[asyncio.Task[None]] = []
         self._figures: Figures = {}
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """Cancel the tasks and end the process."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self._processes.end()
+        await self._processes.terminate_all()
 
     async def measure(self) -> Figures:
         """Start the ingress and return all figures."""
@@ -111,7 +111,7 @@
             self._start_task(self._resize_backends())
         load = LoadGenerator(address, run.rate, run.seed + 1, first_gateway=run.index)
         direct_load = LoadGenerator(
-            self._environment.direct.endpoints[0],
+            self._environment.direct_backend.endpoints[0],
             run.rate,
             run.seed + 2,
             first_gateway=run.index,
@@ -121,7 +121,7 @@
         sending = self._start_task(load.run(duration_s))
         sending_directly = self._start_task(direct_load.run(duration_s))
         self._start_task(lag.run())
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(LOAD_WARM_UP_S)
         if readable:
             self._figures |= await _measure_drain(
                 self._environment.discovery, self._environment.backends
@@ -167,7 +167,7 @@
             "served": float(statuses[200]),
             "refused": float(statuses[429] + statuses[503]),
             "unanswered": float(statuses[NO_RESPONSE]),
-            "lab_stall_ms": lag.worst_ms,
+            "lab_stall_ms": lag.max_lag_ms,
         }
 
     def _add_usage_figures(
@@ -178,7 +178,7 @@
         written = after.discovery_bytes - before.discovery_bytes
         polls = after.discovery_polls - before.discovery_polls
         self._figures |= {
-            "healthz_worst_ms": health.worst_ms,
+            "healthz_worst_ms": health.max_latency_ms,
             "rss_mb": rss_mb(ingress.pid),
             "peak_rss_mb": peak_mb(ingress.pid),
             "cpu_percent": (after.cpu_s - before.cpu_s) / wall_s * 100,
@@ -191,7 +191,7 @@
     """Return where the ingress serves; RuntimeError with its last line if it ends instead."""
     async with asyncio.timeout(START_TIMEOUT_S):
         while True:
-            for line in list(ingress.err):
+            for line in list(ingress.stderr_lines):
                 if (found := _SERVING.search(line)) is not None:
                     return found[1].decode()
             if not ingress.running:
@@ -200,9 +200,9 @@
 
 
 def _last_line(ingress: ChildProcess) -> str:
-    if not ingress.err:
+    if not ingress.stderr_lines:
         return "no output"
-    return ingress.err[-1].decode(errors="replace").strip()
+    return ingress.stderr_lines[-1].decode(errors="replace").strip()
 
 
 def _added_ms(p99_ms: float | None, direct_p99_ms: float | None) -> float | None:
@@ -211,7 +211,7 @@
     None where the direct way alone takes longer than the plan lets the ingress add: what is added
     can't be told apart then.
     """
-    if p99_ms is None or direct_p99_ms is None or direct_p99_ms > ADDED_MS:
+    if p99_ms is None or direct_p99_ms is None or direct_p99_ms > MAX_ADDED_P99_MS:
         return None
     return p99_ms - direct_p99_ms
 
@@ -225,7 +225,7 @@
     loop = asyncio.get_running_loop()
     counts = backends.request_counts
     counts_before = dict(counts)
-    await asyncio.sleep(BUSIEST_WATCH_S)
+    await asyncio.sleep(BUSIEST_PORT_WATCH_S)
     busiest = max(counts, key=lambda endpoint: counts[endpoint] - counts_before[endpoint])
     if counts[busiest] == counts_before[busiest]:
         return {"in_force_s": None, "leaving_entries": 0.0, "sent_to_leaving": None}
--- a/fleetlab/results.py
+++ b/fleetlab/results.py
@@ -42,12 +42,12 @@
     """A file of results can't be read; the message names file and line."""
 
 
-def this_machine() -> Machine:
+def describe_machine() -> Machine:
     """Return the cores, memory and Python of this machine."""
     return Machine(os.cpu_count() or 1, round(machine_mb()), platform.python_version())
 
 
-def this_commit() -> str:
+def current_commit() -> str:
     """Return the commit of the code, with + if files differ from it; empty if it is not known."""
     try:
         commit = _git("rev-parse", "HEAD")
@@ -69,12 +69,12 @@
     return done.stdout.strip()
 
 
-def append(path: Path, result: Result) -> None:
+def append_result(path: Path, result: Result) -> None:
     """Add one line to a file of results; OSError if it can't be written."""
     append_line(path, result)
 
 
-def read(path: Path) -> list[Result]:
+def read_results(path: Path) -> list[Result]:
     """Return the results in a file, or in all *.jsonl of a folder.
 
     Raise ResultError at the first line that is no result.
--- a/fleetlab/slopes.py
+++ b/fleetlab/slopes.py
@@ -13,7 +13,7 @@
 
 MIN_FIT_POINTS = 2
 MIN_VERDICT_POINTS = 4
-ROUNDING = 1e-9  # error of a fit
+FIT_TOLERANCE = 1e-9  # error of a fit
 
 
 class Verdict(StrEnum):
@@ -82,7 +82,7 @@
     slope, intercept = (float(coefficient) for coefficient in np.polyfit(sizes, values, 1))
     residual = float(np.max(np.abs(slope * sizes + intercept - values)))
     at_plan = slope * plan_size + intercept
-    greatest = float(np.max(values[sizes <= plan_size], initial=-np.inf))
+    max_measured = float(np.max(values[sizes <= plan_size], initial=-np.inf))
     limit = LIMITS.get(figure)
     complete = points >= MIN_VERDICT_POINTS and not any(
         observation.value is None and observation.size <= plan_size for observation in observations
@@ -97,11 +97,11 @@
         worst_residual=residual,
         at_plan=at_plan,
         limit=limit,
-        beyond=plan_size / max(float(np.max(sizes)), ROUNDING),
+        beyond=plan_size / max(float(np.max(sizes)), FIT_TOLERANCE),
         verdict=_judge(
             limit,
-            greatest=greatest,
-            predicted=max(at_plan, greatest) if slope < 0 else at_plan,
+            max_measured=max_measured,
+            predicted=max(at_plan, max_measured) if slope < 0 else at_plan,
             residual=residual,
             complete=complete,
         ),
@@ -109,12 +109,12 @@
 
 
 def _judge(
-    limit: float | None, *, greatest: float, predicted: float, residual: float, complete: bool
+    limit: float | None, *, max_measured: float, predicted: float, residual: float, complete: bool
 ) -> Verdict:
     if limit is None:
         return Verdict.NOT_KNOWN
-    if greatest > limit:
+    if max_measured > limit:
         return Verdict.MISSED
     if not complete or 0 < abs(predicted - limit) < residual:
         return Verdict.NOT_KNOWN
-    return Verdict.MET if predicted <= limit + ROUNDING else Verdict.MISSED
+    return Verdict.MET if predicted <= limit + FIT_TOLERANCE else Verdict.MISSED
--- a/fleetlab/soak/backend.py
+++ b/fleetlab/soak/backend.py
@@ -14,9 +14,9 @@
 from fleetlab.soak.records import Attempt, AttemptResult
 from fleetlab.stand_in import (
     format_address,
+    last_data_age_s,
     reset_connection,
-    since_last_data_s,
-    write_at_once,
+    write_immediately,
 )
 
 BACKLOG_FILLERS = 4  # connections that fill the queue of a listener with a backlog of 0
@@ -193,7 +193,7 @@
 
     def _last_data_at(self) -> float:
         """Return when the last bytes arrived; the event loop may have read them later."""
-        return time.monotonic() - since_last_data_s(self._transport)
+        return time.monotonic() - last_data_age_s(self._transport)
 
     def _start_attempt(self, headers: dict[bytes, bytes]) -> None:
         received_at = self._last_data_at()
@@ -284,7 +284,7 @@
             or self._backend.unreachable
         ):
             return
-        write_at_once(self._transport, data, end=close)
+        write_immediately(self._transport, data, half_close=close)
         self._finish_attempt(attempt, AttemptResult.SERVED)
         if close:
             self._transport.close()
--- a/fleetlab/soak/faults.py
+++ b/fleetlab/soak/faults.py
@@ -116,9 +116,9 @@
             await self._list_fault(self.nodes[fault.target].agent, fault)
         elif fault.kind in _COUNTER_FAULTS:
             assert self.counter_path is not None
-            self.counter_path.begin_fault(_COUNTER_FAULTS[fault.kind])
+            self.counter_path.set_fault(_COUNTER_FAULTS[fault.kind])
             await asyncio.sleep(fault.seconds)
-            self.counter_path.begin_fault(PathFault.NONE)
+            self.counter_path.set_fault(PathFault.NONE)
         elif fault.kind in _SYSTEM_FAULTS:
             await self._system_fault(self.nodes[fault.target].process, fault)
         elif fault.kind is FaultKind.CLOCK_STEP:
--- a/fleetlab/stand_in.py
+++ b/fleetlab/stand_in.py
@@ -10,8 +10,8 @@
 
 LOOPBACK = "127.0.0.1"
 # Of TCP_INFO: the milliseconds since the last data came, and how much is read to get there.
-LAST_DATA_RECEIVED = struct.Struct("=52xI")
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: closing sends RST
+TCP_INFO_LAST_DATA_RECV = struct.Struct("=52xI")
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closing sends RST
 
 
 class StandInServer:
@@ -69,11 +69,11 @@
     """End a connection with a reset."""
     sock: socket.socket | None = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     transport.abort()
 
 
-def since_last_data_s(transport: asyncio.Transport) -> float:
+def last_data_age_s(transport: asyncio.Transport) -> float:
     """Return for how long the last bytes that came had lain there, by the system's account.
 
     A loop that is late reads and accepts late; this tells when the bytes came. 0 if it isn't told.
@@ -82,14 +82,14 @@
     if sock is None:
         return 0.0
     try:
-        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
-        (age_ms,) = LAST_DATA_RECEIVED.unpack(info)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_DATA_RECV.size)
+        (age_ms,) = TCP_INFO_LAST_DATA_RECV.unpack(info)
     except (OSError, struct.error):
         return 0.0
     return float(age_ms) / 1000
 
 
-def write_at_once(transport: asyncio.Transport, data: bytes, end: bool = False) -> None:
+def write_immediately(transport: asyncio.Transport, data: bytes, half_close: bool = False) -> None:
     """Hand bytes to the system now, and the end of the connection behind them if that is asked.
 
     A transport does both only at the end of the loop's turn, which may be late. Bytes that the
@@ -99,9 +99,9 @@
     if sock is not None and not transport.get_write_buffer_size() and not transport.is_closing():
         with suppress(OSError):
             data = data[os.write(sock.fileno(), data) :]
-            if end and not data:
-                with socket.socket(fileno=os.dup(sock.fileno())) as own:
-                    own.shutdown(socket.SHUT_WR)
+            if half_close and not data:
+                with socket.socket(fileno=os.dup(sock.fileno())) as duplicate:
+                    duplicate.shutdown(socket.SHUT_WR)
     if data:
         transport.write(data)
 
--- a/fleetlab/sweep.py
+++ b/fleetlab/sweep.py
@@ -15,7 +15,7 @@
 from fleetlab.discovery_server import DiscoveryServer
 from fleetlab.plan import INGRESSES
 from fleetlab.process_stats import check_memory
-from fleetlab.processes import ChildProcess, ProcessGroup
+from fleetlab.processes import ChildProcess, ChildProcesses
 from fleetlab.results import Figures
 from fleetlab.site import endpoint_entries
 from fleetlab.sweep_figures import Measurement, compute_figures
@@ -30,11 +30,11 @@
 INGRESSES_PER_PROCESS = 40
 
 # Rough sizes, to check memory beforehand.
-ENTRY_KB = 2.0
-TENANT_KB = 2.0
-ROUTE_KB = 60.0
-INGRESS_MB = 2.0
-PROCESS_MB = 60.0
+ESTIMATED_ENTRY_KB = 2.0
+ESTIMATED_CUSTOMER_KB = 2.0
+ESTIMATED_CLASS_KB = 60.0
+ESTIMATED_INGRESS_MB = 2.0
+ESTIMATED_PROCESS_MB = 60.0
 
 # Synthetic ingresses make no attempts, so nobody has to listen here.
 UNUSED_ENDPOINTS = ("127.0.0.1:9",)
@@ -53,22 +53,22 @@
     burst: float = 1000.0  # units of a customer's plan
 
     @property
-    def expected_mb(self) -> float:
+    def estimated_mb(self) -> float:
         """The memory that the point takes, roughly."""
         ingress_kb = (
-            self.backends * ENTRY_KB
-            + self.preloaded_customers * TENANT_KB
-            + self.classes * ROUTE_KB
+            self.backends * ESTIMATED_ENTRY_KB
+            + self.preloaded_customers * ESTIMATED_CUSTOMER_KB
+            + self.classes * ESTIMATED_CLASS_KB
         )
         processes = self.ingresses // INGRESSES_PER_PROCESS + 1
         return (
-            self.ingresses * (INGRESS_MB + ingress_kb / 1024)
-            + self.backends * ENTRY_KB / 1024
-            + processes * PROCESS_MB
+            self.ingresses * (ESTIMATED_INGRESS_MB + ingress_kb / 1024)
+            + self.backends * ESTIMATED_ENTRY_KB / 1024
+            + processes * ESTIMATED_PROCESS_MB
         )
 
 
-def point_of(axis: str, size: int) -> Point:
+def make_point(axis: str, size: int) -> Point:
     """Return the point of this size on an axis; ValueError for an unknown axis."""
     match axis:
         case "backends":
@@ -92,7 +92,7 @@
     """The processes of synthetic ingresses and the servers before which they run."""
 
     discovery: DiscoveryServer
-    processes: ProcessGroup
+    processes: ChildProcesses
     children: Sequence[ChildProcess]
 
     @property
@@ -111,7 +111,7 @@
     """Return the reports of a process, without what else it has written."""
     return [
         msgspec.json.decode(line, type=SyntheticReport)
-        for line in list(child.out)
+        for line in list(child.stdout_lines)
         if line.startswith(b"{")
     ]
 
@@ -129,8 +129,8 @@
     if it could not be measured, as no list was held. Raise MemoryLimitError if the machine's memory
     doesn't suffice.
     """
-    point = point_of(axis, size)
-    check_memory([], point.expected_mb)
+    point = make_point(axis, size)
+    check_memory([], point.estimated_mb)
     async with _start_fleet(point, seconds, seed) as fleet:
         await _wait_until_ready(fleet)
         changing = None
@@ -148,7 +148,7 @@
     """Start servers and ingresses; all are ended whatever happens."""
     discovery = DiscoveryServer(endpoint_entries(point.backends, UNUSED_ENDPOINTS, seed))
     counter = CounterServer()
-    processes = ProcessGroup()
+    processes = ChildProcesses()
     await discovery.start()
     await counter.start()
     try:
@@ -167,13 +167,13 @@
         children = await _start_processes(processes, template, point.ingresses)
         yield _Fleet(discovery, processes, children)
     finally:
-        await processes.end()
+        await processes.terminate_all()
         await discovery.stop()
         await counter.stop()
 
 
 async def _start_processes(
-    processes: ProcessGroup, template: SyntheticSpec, ingresses: int
+    processes: ChildProcesses, template: SyntheticSpec, ingresses: int
 ) -> list[ChildProcess]:
     """Start as many processes as these ingresses need."""
     children = []
--- a/fleetlab/sweep_figures.py
+++ b/fleetlab/sweep_figures.py
@@ -9,7 +9,7 @@
 from fleetlab.synthetic_messages import SyntheticReport
 from sumacpost.policy.subsetting import MIN_SUBSET_SIZE
 
-_FIGURES_WHEN_READY = (
+_READY_FIGURES = (
     "ready_s",
     "held_mb",
     "peak_mb",
@@ -44,10 +44,10 @@
     def wall_s(self) -> float:
         return self.last.at_s - self.first.at_s
 
-    def rise(self, field: str) -> float:
+    def increase(self, field: str) -> float:
         """Return by how much a sum has risen."""
-        rise: float = getattr(self.last, field) - getattr(self.first, field)
-        return rise
+        increase: float = getattr(self.last, field) - getattr(self.first, field)
+        return increase
 
 
 def compute_figures(measurement: Measurement) -> Figures:
@@ -59,12 +59,12 @@
     spans = [_Span(reports[0], reports[-1]) for reports in measurement.reports if len(reports) > 1]
     all_reported = len(spans) == len(measurement.reports)
     if not all_reported or any(span.last.ready_s is None for span in spans):
-        names = list(_FIGURES_WHEN_READY)
+        names = list(_READY_FIGURES)
         if measurement.changes_expected:
             names.append("told_ms")
         return figures | dict.fromkeys(names)
     figures |= _cost_figures(spans, measurement.ingresses)
-    if _rise(spans, "changes"):
+    if _increase(spans, "changes"):
         figures["told_ms"] = max(
             report.max_notification_ms for reports in measurement.reports for report in reports[1:]
         )
@@ -87,9 +87,9 @@
 
 def _cost_figures(spans: Sequence[_Span], ingresses: int) -> Figures:
     wall_s = sum(span.wall_s for span in spans) / len(spans)
-    arrived = _rise(spans, "arrived")
-    control_cpu_s = _rise(spans, "cpu_s") - _rise(spans, "decision_cpu_s")
-    control_bytes = _rise(spans, "discovery_bytes") + _rise(spans, "counter_bytes")
+    arrived = _increase(spans, "arrived")
+    control_cpu_s = _increase(spans, "cpu_s") - _increase(spans, "decision_cpu_s")
+    control_bytes = _increase(spans, "discovery_bytes") + _increase(spans, "counter_bytes")
     return {
         "ready_s": max(span.last.ready_s or 0.0 for span in spans),
         "held_mb": sum(span.last.rss_mb - span.last.base_mb for span in spans) / ingresses,
@@ -97,11 +97,11 @@
         "rss_mb": sum(span.last.rss_mb for span in spans),
         "control_cpu_percent": 100 * control_cpu_s / wall_s / ingresses,
         "control_bytes_per_s": control_bytes / wall_s / ingresses,
-        "decision_us": 1e6 * _rise(spans, "decision_cpu_s") / arrived if arrived else None,
-        "counter_calls_per_s": _rise(spans, "counter_calls") / wall_s / ingresses,
-        "refused_share": _rise(spans, "rejected") / arrived if arrived else None,
+        "decision_us": 1e6 * _increase(spans, "decision_cpu_s") / arrived if arrived else None,
+        "counter_calls_per_s": _increase(spans, "counter_calls") / wall_s / ingresses,
+        "refused_share": _increase(spans, "rejected") / arrived if arrived else None,
     }
 
 
-def _rise(spans: Sequence[_Span], field: str) -> float:
-    return float(sum(span.rise(field) for span in spans))
+def _increase(spans: Sequence[_Span], field: str) -> float:
+    return float(sum(span.increase(field) for span in spans))
--- a/fleetlab/synthetic_ingress.py
+++ b/fleetlab/synthetic_ingress.py
@@ -87,7 +87,7 @@
         self.counter: CounterClient | None = None
         if config.settings.counter:
             timeout_s = config.settings.counter_timeout_ms / 1000
-            self.counter = CounterClient(config.counter, timeout_s, self._counter_replied)
+            self.counter = CounterClient(config.counter, timeout_s, self._handle_counter_reply)
 
     def now_ms(self) -> float:
         """Return the gateway's time: milliseconds on the scale of Unix time."""
@@ -106,7 +106,7 @@
         if update.kind is UpdateKind.CHANGES:
             self.counts.changes += len(update.entries)
             self.addresses.update(addresses)
-            self._note_notification(update)
+            self._record_notification_delay(update)
         else:
             self.addresses = dict(addresses)
         for entry in update.entries:
@@ -115,19 +115,19 @@
         self.version = update.version
         self._handle(update)
 
-    def take_max_notification_ms(self) -> float:
+    def pop_max_notification_ms(self) -> float:
         """Return the longest time from a backend's start to its notification; begin anew."""
         longest_ms = self._max_notification_ms
         self._max_notification_ms = 0.0
         return longest_ms
 
-    def _note_notification(self, update: EndpointListUpdate) -> None:
+    def _record_notification_delay(self, update: EndpointListUpdate) -> None:
         for entry in update.entries:
             if entry.up_since_ms:
                 delay_ms = self.now_ms() - entry.up_since_ms
                 self._max_notification_ms = max(self._max_notification_ms, delay_ms)
 
-    def arrive(self, customer: int, request_class: int, units: float = 1.0) -> None:
+    def simulate_request(self, customer: int, request_class: int, units: float = 1.0) -> None:
         """Make up a request; it is concluded at once, or when the counter has replied."""
         self.counts.arrived += 1
         request = self.counts.arrived
@@ -156,7 +156,7 @@
                 self.counts.failed += 1
                 self._handle(RequestCancelled(request))
 
-    def _counter_replied(self, event: CounterReplied) -> None:
+    def _handle_counter_reply(self, event: CounterReplied) -> None:
         if event.outcome is Outcome.OK:
             self.counts.counter_added += 1
         self._handle(event)
@@ -170,11 +170,11 @@
         try:
             while self._events:
                 for action in self.gateway.handle(self.now_ms(), self._events.popleft()):
-                    self._carry_out(action)
+                    self._execute_action(action)
         finally:
             self._handling = False
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute_action(self, action: Action) -> None:
         match action:
             case Send(request, backend):
                 self.counts.sent += 1
--- a/fleetlab/synthetic_process.py
+++ b/fleetlab/synthetic_process.py
@@ -33,7 +33,7 @@
 STDIN_READ_BYTES = 4096
 
 
-def read_configs(spec: SyntheticSpec) -> Iterator[Config]:
+def make_configs(spec: SyntheticSpec) -> Iterator[Config]:
     """Yield the configuration of each ingress, read from its own text.
 
     Raise ConfigError if the spec makes none that can be used.
@@ -64,23 +64,23 @@
         self._random = Random(spec.seed + spec.first_index)
         self._decision_cpu_s = 0.0
         self._ready_s: float | None = None
-        self.ingresses = [SyntheticIngress(config) for config in read_configs(spec)]
+        self.ingresses = [SyntheticIngress(config) for config in make_configs(spec)]
 
     async def run(self, stop: asyncio.Event) -> None:
         """Drive the ingresses and report every second until stop is set or the time is over."""
         tasks = [task for ingress in self.ingresses for task in ingress.start()]
-        driver = asyncio.create_task(self._drive())
+        load_task = asyncio.create_task(self._generate_load())
         try:
             async with asyncio.timeout(self.spec.seconds):
-                await self._report_until(lambda: stop.is_set() or driver.done())
+                await self._report_until(lambda: stop.is_set() or load_task.done())
         except TimeoutError:
             pass
         finally:
             for task in tasks:
                 task.stop()
-            if driver.done() and not driver.cancelled():
-                driver.result()  # raises what the driver has failed with
-            driver.cancel()
+            if load_task.done() and not load_task.cancelled():
+                load_task.result()  # raises what the task has failed with
+            load_task.cancel()
 
     async def _report_until(self, ended: Callable[[], bool]) -> None:
         while not ended():
@@ -96,7 +96,7 @@
             if self._ready_s is not None and not was_ready:
                 return
 
-    async def _drive(self) -> None:
+    async def _generate_load(self) -> None:
         while not all(ingress.addresses for ingress in self.ingresses):
             await asyncio.sleep(LIST_POLL_S)
         await self._preload_customers()
@@ -114,14 +114,14 @@
     async def _preload_customers(self) -> None:
         for customer in range(self.spec.preloaded_customers):
             for ingress in self.ingresses:
-                ingress.arrive(customer, customer % self.spec.classes)
+                ingress.simulate_request(customer, customer % self.spec.classes)
             if customer % PRELOAD_BATCH == 0:
                 await asyncio.sleep(0)
 
     def _make_requests(self, count: int) -> None:
         for ingress in self.ingresses:
             for _ in range(count):
-                ingress.arrive(
+                ingress.simulate_request(
                     self._random.randrange(self.spec.customers),
                     self._random.randrange(self.spec.classes),
                 )
@@ -129,7 +129,7 @@
 
     def report(self) -> SyntheticReport:
         """Return the sums as they stand."""
-        received = self._loop.received
+        received_bytes = self._loop.received_bytes
         config = self.ingresses[0].config
         entries = [len(ingress.addresses) for ingress in self.ingresses]
         counts = _sum_counts([ingress.counts for ingress in self.ingresses])
@@ -138,8 +138,8 @@
             ready_s=self._ready_s,
             entries=sum(entries),
             min_entries=min(entries),
-            discovery_bytes=received.get(config.discovery[1], 0),
-            counter_bytes=received.get(config.counter[1], 0) if config.counter else 0,
+            discovery_bytes=received_bytes.get(config.discovery[1], 0),
+            counter_bytes=received_bytes.get(config.counter[1], 0) if config.counter else 0,
             counter_calls=counts.counter_calls,
             counter_added=counts.counter_added,
             arrived=counts.arrived,
@@ -148,7 +148,7 @@
             failed=counts.failed,
             changes=counts.changes,
             max_notification_ms=max(
-                [ingress.take_max_notification_ms() for ingress in self.ingresses]
+                [ingress.pop_max_notification_ms() for ingress in self.ingresses]
             ),
             base_mb=self._base_mb,
             rss_mb=rss_mb(os.getpid()),
@@ -189,7 +189,7 @@
     spec = msgspec.json.decode(sys.stdin.buffer.readline(), type=SyntheticSpec)
     if spec.ingresses < 1 or not 0 < spec.seconds < MAX_SECONDS:
         raise ValueError(f"{spec.ingresses} ingresses for {spec.seconds} s")
-    next(read_configs(spec))
+    next(make_configs(spec))
     return spec
 
 
--- a/fleetlab/versioned_list.py
+++ b/fleetlab/versioned_list.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-KEPT_CHANGES = 4_096  # a reader that knows an older version gets the full list
+MAX_CHANGE_HISTORY = 4_096  # a reader that knows an older version gets the full list
 
 JsonObject = dict[str, object]
 
@@ -31,7 +31,7 @@
         self.version = 1
         self._entries = [dict(entry) for entry in entries]
         self._encoded = [_encode(entry) for entry in entries]
-        self._changes: deque[_Change] = deque(maxlen=KEPT_CHANGES)
+        self._changes: deque[_Change] = deque(maxlen=MAX_CHANGE_HISTORY)
         self._full_list: bytes | None = None
 
     def indexes_at(self, endpoint: str) -> list[int]:
@@ -49,7 +49,7 @@
 
     def encode_changes(self, since: int) -> bytes | None:
         """Return what has changed since a version; None if that is not known, or no longer."""
-        oldest = self._changes[0].version if len(self._changes) == KEPT_CHANGES else 1
+        oldest = self._changes[0].version if len(self._changes) == MAX_CHANGE_HISTORY else 1
         if not oldest <= since <= self.version:
             return None
         # A dictionary rather than a set: the entries stay in the order of their changes.
@@ -67,7 +67,7 @@
             self._full_list = self._encode_list(encoded, full=True)
         return self._full_list
 
-    def first_encoded(self, count: int) -> bytes:
+    def encoded_prefix(self, count: int) -> bytes:
         """Return the first entries, with commas between, whether they have left or not."""
         return b",".join(self._encoded[:count])
 
--- a/tests/fleetlab/support.py
+++ b/tests/fleetlab/support.py
@@ -51,6 +51,6 @@
     return [int(child) for child in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
 
 
-def exists(pid: int) -> bool:
+def process_exists(pid: int) -> bool:
     """Whether there is a process of this id."""
     return Path(f"/proc/{pid}").exists()
--- a/tests/fleetlab/test_command.py
+++ b/tests/fleetlab/test_command.py
@@ -13,9 +13,9 @@
 import pytest
 
 from fleetlab.command import main
-from fleetlab.results import read
+from fleetlab.results import read_results
 from fleetlab.slopes import fit
-from tests.fleetlab.support import children_of, exists
+from tests.fleetlab.support import children_of, process_exists
 from tests.support.paths import ROOT
 
 START_TIMEOUT_S = 30
@@ -64,7 +64,7 @@
     for axis, points in (("backends", "3,5,8,13"), ("ingresses", "1,41")):
         bounds = ["--points", points, "--seconds", "0.1", "--seed", "4"]
         assert main(["sweep", *out, "--axis", axis, *bounds]) == 0
-    results = read(tmp_path)
+    results = read_results(tmp_path)
     assert [(result.axis, result.point) for result in results] == [
         ("backends", 3),
         ("backends", 5),
@@ -99,7 +99,7 @@
 
 def test_pairs_writes_results_for_each_scheme_and_size(tmp_path: Path) -> None:
     assert main(["pairs", "--out", str(tmp_path), "--sizes", "4x8,8x4", "--replacements", "2"]) == 0
-    assert sorted((result.axis, result.point) for result in read(tmp_path)) == [
+    assert sorted((result.axis, result.point) for result in read_results(tmp_path)) == [
         ("pairs-rank", 4),
         ("pairs-rank", 8),
         ("pairs-subset", 4),
@@ -143,7 +143,7 @@
         command.kill()
     assert command.returncode == 128 + signum
     assert "interrupted" in printed
-    assert not [pid for pid in started if exists(pid)]
+    assert not [pid for pid in started if process_exists(pid)]
 
 
 def wait_for_children(pid: int, count: int) -> list[int]:
--- a/tests/fleetlab/test_counter_server.py
+++ b/tests/fleetlab/test_counter_server.py
@@ -40,7 +40,7 @@
         ):
             writer.write(b"".join(calls))
             assert await reader.readexactly(len(replies)) == replies
-            assert (counter.calls, counter.busy) == (2, 1)
+            assert (counter.additions, counter.rejected_additions) == (2, 1)
             assert b"8" not in counter.totals
 
     run(scenario())
--- a/tests/fleetlab/test_counting_loop.py
+++ b/tests/fleetlab/test_counting_loop.py
@@ -39,8 +39,8 @@
             await exchange_by_address(first)
             await exchange_by_address(second)
             await exchange_by_address(second)
-            assert loop.received[split_address(first)[1]] == len(RESPONSE)
-            assert loop.received[split_address(second)[1]] == 2 * len(RESPONSE)
+            assert loop.received_bytes[split_address(first)[1]] == len(RESPONSE)
+            assert loop.received_bytes[split_address(second)[1]] == 2 * len(RESPONSE)
 
     run_on_counting_loop(scenario)
 
@@ -49,7 +49,7 @@
     async def scenario(loop: CountingLoop) -> None:
         async with started(BackendServers(ports=1)) as backends:
             await exchange_by_socket(backends.endpoints[0])
-            assert loop.received == {None: len(RESPONSE)}
+            assert loop.received_bytes == {None: len(RESPONSE)}
 
     run_on_counting_loop(scenario)
 
--- a/tests/fleetlab/test_json_lines.py
+++ b/tests/fleetlab/test_json_lines.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from fleetlab.json_lines import SEARCHED_BYTES, append_line, read_lines
+from fleetlab.json_lines import SEARCH_BLOCK_BYTES, append_line, read_lines
 
 
 @pytest.fixture
@@ -22,7 +22,7 @@
     assert read_lines(file) == [b'{"seed":1}', b'{"seed":2}']
 
 
-@pytest.mark.parametrize("torn", [b'{"se', b'{"x":"' + b"y" * (2 * SEARCHED_BYTES)])
+@pytest.mark.parametrize("torn", [b'{"se', b'{"x":"' + b"y" * (2 * SEARCH_BLOCK_BYTES)])
 def test_half_a_line_of_a_killed_process_is_no_line_and_is_removed(file: Path, torn: bytes) -> None:
     append_line(file, 1)
     file.write_bytes(file.read_bytes() + torn)
--- a/tests/fleetlab/test_load_generator.py
+++ b/tests/fleetlab/test_load_generator.py
@@ -13,7 +13,7 @@
 
 def test_each_request_of_the_schedule_is_sent_once_and_recorded_once() -> None:
     async def scenario() -> None:
-        async with started(BackendServers(ports=2, work_s=0.01)) as backends:
+        async with started(BackendServers(ports=2, service_time_s=0.01)) as backends:
             loads = [LoadGenerator(endpoint, 200.0, seed=3) for endpoint in backends.endpoints]
             await asyncio.gather(*(load.run(0.25) for load in loads))
             first, second = backends.request_counts.values()
--- a/tests/fleetlab/test_path_proxy.py
+++ b/tests/fleetlab/test_path_proxy.py
@@ -38,7 +38,7 @@
         async with proxy() as path:
             reader, writer = await asyncio.open_connection(*split_address(path.address))
             assert (await exchange(reader, writer)).endswith(b"done")
-            path.begin_fault(PathFault.DELAYED)
+            path.set_fault(PathFault.DELAYED)
             began_at = time.monotonic()
             assert (await exchange(reader, writer)).endswith(b"done")
             assert time.monotonic() - began_at >= 2 * path.delay_s
@@ -51,11 +51,11 @@
     async def test() -> None:
         async with proxy() as path:
             reader, writer = await asyncio.open_connection(*split_address(path.address))
-            path.begin_fault(PathFault.SILENT)
+            path.set_fault(PathFault.SILENT)
             answer = asyncio.create_task(exchange(reader, writer))
             await asyncio.sleep(0.1)
             assert not answer.done()
-            path.begin_fault(PathFault.NONE)
+            path.set_fault(PathFault.NONE)
             with pytest.raises(ConnectionResetError):
                 await answer
 
@@ -67,7 +67,7 @@
         async with proxy() as path:
             reader, writer = await asyncio.open_connection(*split_address(path.address))
             assert (await exchange(reader, writer)).endswith(b"done")
-            path.begin_fault(PathFault.RESET)
+            path.set_fault(PathFault.RESET)
             with pytest.raises(ConnectionError):
                 await reader.read(1)
             with pytest.raises(ConnectionError):
@@ -81,7 +81,7 @@
         async with proxy() as path:
             reader, writer = await asyncio.open_connection(*split_address(path.address))
             assert (await exchange(reader, writer)).endswith(b"done")
-            path.begin_fault(PathFault.HALF_CLOSED)
+            path.set_fault(PathFault.HALF_CLOSED)
             assert await reader.read(1000) == b""
             writer.write(REQUEST)  # still taken
             await writer.drain()
--- a/tests/fleetlab/test_plan.py
+++ b/tests/fleetlab/test_plan.py
@@ -8,7 +8,7 @@
 
 from fleetlab.plan import DEFAULT_POINTS, MAX_POINTS, PLAN_SIZES
 from fleetlab.site import config_text
-from fleetlab.sweep import point_of
+from fleetlab.sweep import make_point
 from sumacpost.config import read_config
 from tests.fleetlab.support import UNUSED_ENDPOINTS
 from tests.support.paths import ROOT
@@ -20,7 +20,7 @@
     assert len(points) >= 4
     assert max(points) <= MAX_POINTS[axis]
     assert axis in PLAN_SIZES
-    point = point_of(axis, points[0])
+    point = make_point(axis, points[0])
     config = read_config(
         config_text(index=0, gateways=9, discovery=UNUSED_ENDPOINTS[0], classes=point.classes)
     )
--- a/tests/fleetlab/test_processes.py
+++ b/tests/fleetlab/test_processes.py
@@ -9,8 +9,8 @@
 import pytest
 
 from fleetlab.process_stats import MemoryLimitError, check_memory
-from fleetlab.processes import ProcessGroup
-from tests.fleetlab.support import children_of, exists
+from fleetlab.processes import ChildProcesses
+from tests.fleetlab.support import children_of, process_exists
 from tests.support.event_loop import run
 
 MODULE = "fleetlab.synthetic_process"
@@ -21,14 +21,14 @@
 
     async def scenario() -> None:
         before = children_of(os.getpid())
-        processes = ProcessGroup()
+        processes = ChildProcesses()
         starting = asyncio.create_task(processes.start(MODULE))
         await asyncio.sleep(0)
         starting.cancel()
         await asyncio.wait([starting])
         assert starting.cancelled()
         assert len(processes.pids) == 1
-        await processes.end()
+        await processes.terminate_all()
         assert children_of(os.getpid()) == before
 
     run(scenario())
@@ -38,11 +38,11 @@
     monkeypatch.setattr("fleetlab.processes.TERMINATION_GRACE_S", 0.1)
 
     async def scenario() -> None:
-        processes = ProcessGroup()
+        processes = ChildProcesses()
         child = await processes.start(MODULE)
         os.kill(child.pid, signal.SIGSTOP)  # SIGTERM does not end it now
-        await processes.end()
-        assert not exists(child.pid)
+        await processes.terminate_all()
+        assert not process_exists(child.pid)
         assert processes.pids == []
 
     asyncio.run(asyncio.wait_for(scenario(), 30))
--- a/tests/fleetlab/test_synthetic_ingress.py
+++ b/tests/fleetlab/test_synthetic_ingress.py
@@ -8,7 +8,7 @@
 from fleetlab.site import endpoint_entries
 from fleetlab.synthetic_ingress import SyntheticIngress
 from fleetlab.synthetic_messages import SyntheticSpec
-from fleetlab.synthetic_process import read_configs
+from fleetlab.synthetic_process import make_configs
 from sumacpost.discovery.endpoint_list import EndpointListReader
 from sumacpost.model import EndpointListUpdate, EndpointStatus, UpdateKind
 from tests.fleetlab.support import UNUSED_ENDPOINTS
@@ -22,7 +22,7 @@
         spec = SyntheticSpec(
             ingresses=2, gateways=6, discovery=UNUSED_ENDPOINTS[0], burst=6.0, seed=1
         )
-        one, other = (SyntheticIngress(config) for config in read_configs(spec))
+        one, other = (SyntheticIngress(config) for config in make_configs(spec))
         full_list = {"rev": 4, "all": True, "targets": endpoint_entries(9, UNUSED_ENDPOINTS)}
         update, addresses = EndpointListReader("abc", ()).read(json.dumps(full_list).encode())
         one.update_endpoints(update, addresses)
@@ -30,11 +30,11 @@
         assert (len(other.addresses), other.version) == (0, 0)
 
         for _ in range(4):
-            one.arrive(5, 0)
+            one.simulate_request(5, 0)
         # The quota of one ingress out of three that a customer's requests come to.
         assert (one.counts.sent, one.counts.rejected) == (2, 2)
         other.update_endpoints(update, addresses)
-        other.arrive(5, 0)
+        other.simulate_request(5, 0)
         counts = other.counts
         assert (counts.arrived, counts.sent, counts.rejected) == (1, 1, 0)
 
