--- a/sumacpost/policy/attempt_rules.py
+++ b/sumacpost/policy/attempt_rules.py
@@ -17,7 +17,7 @@
 def repeat_denial_reason(
     now: float, request: PendingRequest, settings: Settings
 ) -> DenialReason | None:
-    """Return why no further attempt of a request may be sent now, or None if one may."""
+    """Return why no further attempt of a request may be sent now, or None."""
     if not request.is_repeatable:
         if not request.has_idempotency_key:
             return DenialReason.NOT_REPEATABLE
@@ -33,7 +33,7 @@
 def write_denial_reason(
     now: float, request: PendingRequest, attempt: int, ready: bool, settings: Settings
 ) -> DenialReason | None:
-    """Return why an attempt whose backend is chosen may not be written now, or None if it may.
+    """Return why an attempt that has been started may not be written now, or None if it may.
 
     ready: whether that backend is still listed as ready, in the incarnation that was chosen.
     """
--- a/sumacpost/policy/gateway.py
+++ b/sumacpost/policy/gateway.py
@@ -27,9 +27,8 @@
 
 # Admission threshold of requests beyond the quota, as a fraction of that of other requests.
 BEYOND_QUOTA_THRESHOLD_FRACTION = 0.5
-METER_FULL_PERCENT = (
-    100  # use of the plan's rate, by the meter, from which a customer is over quota
-)
+# Use of the plan's rate, by the meter, from which a customer is over its quota.
+METER_FULL_PERCENT = 100
 
 
 class Gateway:
@@ -102,7 +101,7 @@
             request.deadline = min(request.deadline, latest)
 
     def _request_arrived(self, now: float, event: events.RequestArrived) -> None:
-        """Admit a request by the bucket, or beyond the quota; else ask the counter or reject it."""
+        """Admit a request by the bucket or beyond the quota, ask the counter, or reject it."""
         settings = self.settings
         customer = self.customers.get_or_create(now, event, self._first_event_at)
         request_class = settings.classes[event.request_class]
@@ -285,7 +284,7 @@
         self._reject_or_fail(now, request, reason)
 
     def _reject_or_fail(self, now: float, request: PendingRequest, reason: DenialReason) -> None:
-        """Conclude a request that is not served: reject it if a retry is safe, else fail it."""
+        """Conclude a request that is not served: reject it if a retry is safe, or fail it."""
         if self.retries.permits_rejection(request):
             self._reject(now, request, reason)
         else:
--- a/sumacpost/policy/latency.py
+++ b/sumacpost/policy/latency.py
@@ -2,9 +2,8 @@
 
 from math import inf
 
-FAILURE_WEIGHT = (
-    0.3  # weight of a failure, and upper bound on the added weight of a rare observation
-)
+# Weight of a failure, and upper bound on the weight that an observation gets by being rare.
+FAILURE_WEIGHT = 0.3
 MIN_DECAY_MS = 3000.0  # shortest time in which an observation decays to a third
 # The decay time is this multiple of the gap between observations if that is longer than
 # MIN_DECAY_MS.
--- a/sumacpost/policy/quota.py
+++ b/sumacpost/policy/quota.py
@@ -18,9 +18,8 @@
 ASSUMED_REFILL_FRACTION = 0.15
 RETRY_RESERVE_FRACTION = 0.1  # fraction of the share's burst reserved for marked retries
 NO_SHOW_MS = 2000.0  # a marked retry this late is not expected any more and leaves the return queue
-REPORT_BATCH_FRACTION = (
-    0.08  # use is reported to the counter in batches of this fraction of the burst
-)
+# Use is reported to the counter in batches of this fraction of the burst.
+REPORT_BATCH_FRACTION = 0.08
 # Customers without requests expire after this, or once their buckets are full if that takes longer.
 EXPIRY_MS = 20_000.0
 EXPIRIES_PER_REQUEST = 2  # more than the one customer that a request can add
@@ -143,14 +142,13 @@
         reported_units: the units of use that the call added.
         age_ms: how long the name has been in use.
 
-        Return the units by which the name's total is too low, as its balance exceeds the limit.
+        Return the units by which the name's total is too low: its balance above the limit.
         """
         plan = self.plan
         balance = plan.burst - previous_total + age_ms / 1000 * plan.rate
         max_balance = plan.burst
-        if (
-            previous_total < MAX_FRESH_TOTAL
-        ):  # a new or lost name: the balance is that of the old one
+        if previous_total < MAX_FRESH_TOTAL:
+            # For a new or lost name the limit is the previous balance, refilled since then.
             elapsed_s = (now - self.balance_observed_at) / 1000
             max_balance = min(max_balance, self.shared_balance + elapsed_s * plan.rate)
         self.shared_balance = min(max_balance, balance) - reported_units
@@ -167,7 +165,7 @@
     """The customers with recent requests. Others are dropped: a new entry is equivalent."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
-        self.by_number: dict[int, CustomerQuota] = {}  # by time of the last request
+        self.by_number: dict[int, CustomerQuota] = {}  # longest without requests first
         self._settings = settings
         self._random = random
         self._expiry_ms = max([EXPIRY_MS, *map(_fill_time_ms, settings.plans)])
--- a/sumacpost/policy/retries.py
+++ b/sumacpost/policy/retries.py
@@ -27,7 +27,7 @@
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_RATIO)
 
     def retry_denial_reason(self, now: float, request: PendingRequest) -> DenialReason | None:
-        """Return why no further attempt may be sent now, or None if one may."""
+        """Return why no further attempt may be sent now, or None if a retry is permitted."""
         reason = repeat_denial_reason(now, request, self._settings)
         if reason is None and self.retry_tokens < 1:
             return DenialReason.RETRY_BUDGET
--- a/sumacpost/policy/slow_start.py
+++ b/sumacpost/policy/slow_start.py
@@ -37,8 +37,8 @@
         The share may be exceeded by half a request of mean work, so that a share of one request can
         also be used for requests larger than the mean.
         """
-        # In each window that will contain the attempt, the backend has at least this capacity from
-        # the start.
+        # At the start of each window that will contain the attempt, the backend has this capacity
+        # fraction or more.
         capacity_fraction = backend.capacity_fraction(now - self._window_ms, self._settings)
         if capacity_fraction >= 1:
             return True
--- a/sumacpost/policy/slow_start_budget.py
+++ b/sumacpost/policy/slow_start_budget.py
@@ -2,8 +2,8 @@
 
 Within each window of Settings.overload_window_ms a backend tolerates bound(N) requests of mean work
 without failing, where N is the overload factor times what it can serve in that time. A failure must
-never be due to the gateways that know of the backend's start, whatever the other gateways send. It
-would be if they had sent more than two thirds of the load, so for each window
+never be due to the gateways that know of the backend's start, regardless of the load from others.
+It counts as theirs if they sent more than two thirds of the requests, so for each window
 
     sent by all gateways that know of the start  <=  2/3 * bound(N)    N: at the start of the window
 
@@ -18,8 +18,8 @@
 from math import sqrt
 
 SMALL_WINDOW_REQUESTS = 30.0  # for fewer requests, the allowance for random variation is larger
-# A failure is not attributed to the gateways that know of the backend's start if they sent less
-# than this fraction of the load.
+# A failure is not attributed to the gateways that know of the backend's start if they sent no more
+# than this fraction of the requests.
 NOTIFIED_FRACTION = 2 / 3
 
 
--- a/sumacpost/policy/subsetting.py
+++ b/sumacpost/policy/subsetting.py
@@ -31,7 +31,7 @@
 
 
 class Partition:
-    """The part of a long list that one gateway keeps: its memory doesn't grow with the fleet.
+    """The part of a long list that one gateway stores: its memory doesn't grow with the fleet.
 
     Backends are assigned by hash, and gateways by index, to a number of partitions that is a power
     of two. A short list has one partition.
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -155,7 +155,7 @@
 ) -> None:
     """Guard against an attempt for a client that has disconnected.
 
-    Both events come in one iteration of the event loop, in either order, before the hedging timer.
+    Both events occur in one iteration of the event loop, in either order, before the timer fires.
     """
     g = gateway(1, 2, 3, hedging=True)
     overdue = start(g, 1, IDEMPOTENT)
--- a/tests/policy/test_quota_sync.py
+++ b/tests/policy/test_quota_sync.py
@@ -114,9 +114,8 @@
 def test_last_known_balance_decides_if_the_counter_fails(outcome: Outcome) -> None:
     """Guard against double counting: units that may have been added are not reported again."""
     g, call = gateway_with_a_waiting_request()
-    g.quota_sync.counter_call_rate = (
-        0.0  # no further calls, so that unreported units can be checked
-    )
+    # No further calls, so that unreported units can be checked.
+    g.quota_sync.counter_call_rate = 0.0
     unreported = g.customers.by_number[9].unreported_units
     assert actions_of_type(reply(g, call, 0.0, outcome), Send)
     not_added = 0.0 if outcome is Outcome.TIMEOUT else call.amount
