--- a/fleetlab/soak/backend.py
+++ b/fleetlab/soak/backend.py
@@ -1,4 +1,4 @@
-"""A backend that records each attempt and responds to it in ways that a schedule chooses."""
+"""A backend that records each attempt and responds with a behaviour that the fault plan selects."""
 
 from __future__ import annotations
 
@@ -14,29 +14,50 @@
 from fleetlab.soak.records import Attempt, AttemptResult
 from fleetlab.stand_in import (
     format_address,
+    last_data_age_s,
     reset_connection,
-    since_last_data_s,
-    write_at_once,
+    write_immediately,
 )
 
-QUEUE_FILLERS = 4  # connections that fill a listener's queue of none
-MAX_WORK_S = 0.05  # of a request that meets no fault
-PIECE_PAUSE_S = 0.02  # between the pieces of a response in pieces
+BACKLOG_FILLERS = 4  # connections that fill the queue of a listener with a backlog of 0
+MAX_SERVICE_TIME_S = 0.05  # longest service time of a behaviour that is not late
+PIECE_PAUSE_S = 0.02  # pause between the two pieces of a response in pieces
 
 
 @dataclass(slots=True)
 class BackendState:
-    """What a schedule may change of a backend while it runs."""
+    """The properties of a backend that faults may change while it runs.
 
-    choose: Chooser
-    accept_delay_s: float = 0.0  # before the bytes of a new connection are read
-    idle_close_s: float = 30.0  # after which an idle connection is closed, or forgotten
-    forget_idle: bool = False  # whether idle connections are reset at their next request instead
+    Attributes:
+        choose_behaviour: selects the behaviour for each attempt.
+        accept_delay_s: the delay before a new connection is read from, in seconds.
+        idle_timeout_s: the time after which an idle connection is closed or becomes stale.
+        idle_becomes_stale: whether an idle connection becomes stale at the time-out, that is, stays
+            open and is reset at its next request, instead of being closed.
+    """
+
+    choose_behaviour: Chooser
+    accept_delay_s: float = 0.0
+    idle_timeout_s: float = 30.0
+    idle_becomes_stale: bool = False
 
 
 @dataclass
 class SoakBackend:
-    """One backend on a loopback address; `attempts` holds all that it has received whole."""
+    """One backend on a loopback address.
+
+    Attributes:
+        uid: the uid in the endpoint list.
+        state: the properties that faults may change.
+        random: the generator of service times.
+        attempts: the list, shared by the backends of a run, to which completely received attempts
+            are appended.
+        incarnation: the number of restarts.
+        endpoint: the host and port that the backend listens on.
+        connections: the open connections.
+        unreachable: whether the backend is cut off: open connections are silent, and new ones are
+            not established.
+    """
 
     uid: str
     state: BackendState
@@ -45,13 +66,13 @@
     incarnation: int = 0
     endpoint: str = ""
     connections: dict[_Connection, None] = field(default_factory=dict)
-    silent: bool = False  # cut off: open connections say nothing, new ones never come up
+    unreachable: bool = False
     _server: asyncio.Server | None = None
-    _full_queue: list[socket.socket] = field(default_factory=list)
+    _backlog_sockets: list[socket.socket] = field(default_factory=list)
     _address: tuple[str, int] = ("127.0.0.1", 0)
 
     async def start(self) -> None:
-        """Listen: on a port of the system's choice the first time, on the same one later."""
+        """Listen on a port assigned by the system; after a stop, listen on the same port again."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self), *self._address, reuse_address=True
@@ -60,60 +81,60 @@
         self.endpoint = format_address(self._address)
 
     async def crash(self) -> None:
-        """Refuse connections and reset those that are open, as the end of a process does."""
+        """Refuse new connections and reset the open ones, as if the process had ended."""
         if self._server is not None:
             self._server.close()
             self._server = None
         for connection in list(self.connections):
             connection.reset()
 
-    async def vanish(self) -> None:
-        """Fall silent, as a machine that is cut off.
+    async def become_unreachable(self) -> None:
+        """Stop all communication, like a machine that is cut off from the network.
 
-        On loopback no packet gets lost; but a listener whose queue is full drops new connections.
+        No packets are lost on loopback, but a listener whose queue is full drops new connections.
         """
         if self._server is not None:
             self._server.close()
             self._server = None
-        self.silent = True
+        self.unreachable = True
         for connection in self.connections:
-            connection.fall_silent()
+            connection.stop_reading()
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(self._address)
         listener.listen(0)
-        self._full_queue = [listener]
-        for _ in range(QUEUE_FILLERS):
+        self._backlog_sockets = [listener]
+        for _ in range(BACKLOG_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             with suppress(BlockingIOError):
                 filler.connect(self._address)
-            self._full_queue.append(filler)
+            self._backlog_sockets.append(filler)
 
-    async def reappear(self) -> None:
-        """Come back: connections from before are reset, new ones come up."""
-        self.silent = False
-        for sock in self._full_queue:
+    async def become_reachable(self) -> None:
+        """Reset the connections from before the cut and accept new ones again."""
+        self.unreachable = False
+        for sock in self._backlog_sockets:
             sock.close()
-        self._full_queue = []
+        self._backlog_sockets = []
         for connection in list(self.connections):
             connection.reset()
         await self.start()
 
     async def stop(self) -> None:
-        """End for good."""
+        """Close all connections and sockets."""
         await self.crash()
-        for sock in self._full_queue:
+        for sock in self._backlog_sockets:
             sock.close()
 
     async def restart(self) -> None:
-        """Listen again, as a new incarnation that remembers no request."""
+        """Listen again as a new incarnation, without memory of earlier requests."""
         self.incarnation += 1
         await self.start()
 
 
 class _Connection(asyncio.Protocol):
-    """One connection of an ingress; it carries one request at a time."""
+    """One connection from an ingress; it carries one request at a time."""
 
     def __init__(self, backend: SoakBackend) -> None:
         self._backend = backend
@@ -131,24 +152,24 @@
         if delay_s:
             self._transport.pause_reading()
             asyncio.get_running_loop().call_later(delay_s, self._resume)
-        self._rest()
+        self._start_idle_timer()
 
     def _resume(self) -> None:
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def _rest(self) -> None:
-        """Wait for a request, for as long as an idle connection is kept."""
+    def _start_idle_timer(self) -> None:
+        """Restart the time-out after which an idle connection is closed or becomes stale."""
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         self._idle_timer = asyncio.get_running_loop().call_later(
-            self._backend.state.idle_close_s, self._idle_too_long
+            self._backend.state.idle_timeout_s, self._on_idle_timeout
         )
 
-    def _idle_too_long(self) -> None:
+    def _on_idle_timeout(self) -> None:
         if self._attempt is not None or self._buffer:
             return
-        if self._backend.state.forget_idle:
+        if self._backend.state.idle_becomes_stale:
             self._stale = True
         else:
             self._transport.close()
@@ -158,7 +179,7 @@
             self.reset()
             return
         if not self._buffer:
-            self._first_byte_at = self._came_at()
+            self._first_byte_at = self._last_data_at()
         self._buffer += data
         head, separator, rest = self._buffer.partition(b"\r\n\r\n")
         if not separator or self._attempt is not None:
@@ -168,15 +189,15 @@
         if len(rest) < length:
             return
         self._buffer = rest[length:]
-        self._start(headers)
+        self._start_attempt(headers)
 
-    def _came_at(self) -> float:
-        """Return when the last bytes came, which the loop may have read later."""
-        return time.monotonic() - since_last_data_s(self._transport)
+    def _last_data_at(self) -> float:
+        """Return when the last bytes arrived; the event loop may have read them later."""
+        return time.monotonic() - last_data_age_s(self._transport)
 
-    def _start(self, headers: dict[bytes, bytes]) -> None:
-        received_at = self._came_at()
-        behaviour = self._backend.state.choose()
+    def _start_attempt(self, headers: dict[bytes, bytes]) -> None:
+        received_at = self._last_data_at()
+        behaviour = self._backend.state.choose_behaviour()
         self._attempt = Attempt(
             headers.get(b"request-id", b"").decode(),
             self._backend.uid,
@@ -191,30 +212,38 @@
         if behaviour is Behaviour.HANG:
             return
         random = self._backend.random
-        delay_s = random.uniform(0.5, 1.5) if behaviour in LATE else random.uniform(0.0, MAX_WORK_S)
+        delay_s = (
+            random.uniform(0.5, 1.5)
+            if behaviour in LATE
+            else random.uniform(0.0, MAX_SERVICE_TIME_S)
+        )
         asyncio.get_running_loop().call_later(delay_s, self._respond, self._attempt, behaviour)
 
     def _respond(self, attempt: Attempt, behaviour: Behaviour) -> None:
-        if attempt is not self._attempt or self._transport.is_closing() or self._backend.silent:
+        if (
+            attempt is not self._attempt
+            or self._transport.is_closing()
+            or self._backend.unreachable
+        ):
             return
         body = b"%b from %b" % (attempt.request_id.encode(), attempt.backend.encode())
         match behaviour:
             case Behaviour.RESET | Behaviour.LATE_RESET:
-                self._conclude(attempt, AttemptResult.SPOILT)
+                self._finish_attempt(attempt, AttemptResult.INVALID)
                 self.reset()
             case Behaviour.NOISE:
-                self._conclude(attempt, AttemptResult.SPOILT)
+                self._finish_attempt(attempt, AttemptResult.INVALID)
                 self._transport.write(b"\x00\xffnoise that is no response\r\n\r\n")
             case Behaviour.ERROR:
-                self._conclude(attempt, AttemptResult.ERROR)
+                self._finish_attempt(attempt, AttemptResult.ERROR)
                 self._transport.write(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
             case Behaviour.NOT_STARTED:
-                self._conclude(attempt, AttemptResult.NOT_STARTED)
+                self._finish_attempt(attempt, AttemptResult.NOT_STARTED)
                 self._transport.write(
                     b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
                 )
             case Behaviour.TRUNCATED:
-                self._conclude(attempt, AttemptResult.SPOILT)
+                self._finish_attempt(attempt, AttemptResult.INVALID)
                 length = len(body) + 10
                 self._transport.write(
                     b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (length, body)
@@ -224,19 +253,19 @@
                 self._serve(attempt, behaviour, body)
 
     def _serve(self, attempt: Attempt, behaviour: Behaviour, body: bytes) -> None:
-        """Write a good response, but for one without a length that a reset cuts short."""
+        """Write a valid response, or half of one without a length that is then reset."""
         attempt.body = body
         loop = asyncio.get_running_loop()
         half = len(body) // 2
         if behaviour in (Behaviour.SERVE, Behaviour.SLOW, Behaviour.SERVE_AND_CLOSE):
             closing = behaviour is Behaviour.SERVE_AND_CLOSE
             connection = b"Connection: close\r\n" if closing else b""
-            self._transport.write(_bounded_head(body, connection) + body)
-            self._conclude(attempt, AttemptResult.SERVED)
+            self._transport.write(_head_with_length(body, connection) + body)
+            self._finish_attempt(attempt, AttemptResult.SERVED)
             if closing:
                 self._transport.close()
         elif behaviour is Behaviour.IN_PIECES:
-            self._transport.write(_bounded_head(body) + body[:half])
+            self._transport.write(_head_with_length(body) + body[:half])
             loop.call_later(PIECE_PAUSE_S, self._write_last, attempt, body[half:], False)
         elif behaviour is Behaviour.UNBOUNDED:
             self._write_last(attempt, b"HTTP/1.1 200 OK\r\nServer: x\r\n\r\n" + body, True)
@@ -245,32 +274,36 @@
             loop.call_later(PIECE_PAUSE_S, self._write_last, attempt, body[half:], True)
         else:
             self._transport.write(b"HTTP/1.1 200 OK\r\n\r\n" + body[:half])
-            self._conclude(attempt, AttemptResult.SPOILT)
+            self._finish_attempt(attempt, AttemptResult.INVALID)
             loop.call_later(PIECE_PAUSE_S, self.reset)
 
     def _write_last(self, attempt: Attempt, data: bytes, close: bool) -> None:
-        if attempt is not self._attempt or self._transport.is_closing() or self._backend.silent:
+        if (
+            attempt is not self._attempt
+            or self._transport.is_closing()
+            or self._backend.unreachable
+        ):
             return
-        write_at_once(self._transport, data, end=close)
-        self._conclude(attempt, AttemptResult.SERVED)
+        write_immediately(self._transport, data, half_close=close)
+        self._finish_attempt(attempt, AttemptResult.SERVED)
         if close:
             self._transport.close()
 
-    def _conclude(self, attempt: Attempt, result: AttemptResult) -> None:
+    def _finish_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
         attempt.result = result
         attempt.ended_at = time.monotonic()
         self._attempt = None
-        self._rest()
+        self._start_idle_timer()
 
-    def fall_silent(self) -> None:
-        """Read and write nothing more."""
+    def stop_reading(self) -> None:
+        """Stop reading; responses in progress are not written while the backend is unreachable."""
         if self._attempt is not None:
             self._attempt.unobserved = True
         if not self._transport.is_closing():
             self._transport.pause_reading()
 
     def reset(self) -> None:
-        """End the connection with a reset."""
+        """Reset the connection."""
         reset_connection(self._transport)
 
     def connection_lost(self, _exc: Exception | None) -> None:
@@ -283,8 +316,8 @@
             self._attempt = None
 
 
-def _bounded_head(body: bytes, more: bytes = b"") -> bytes:
-    return b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n" % (more, len(body))
+def _head_with_length(body: bytes, extra_headers: bytes = b"") -> bytes:
+    return b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n" % (extra_headers, len(body))
 
 
 def _parse_headers(head: bytes) -> dict[bytes, bytes]:
--- a/fleetlab/soak/client.py
+++ b/fleetlab/soak/client.py
@@ -1,4 +1,4 @@
-"""A client's connection to an ingress; each request on it is recorded."""
+"""A client connection to an ingress that records its requests."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 from fleetlab.soak.records import ClientRequest, Effect
 from fleetlab.stand_in import reset_connection, split_address
 
-LATE_S = 0.5  # after its time a response only earns nothing; later it is lost
-WATCH_S = 3.0  # for which a client waits on: when a lost response comes tells why
+# A response up to this long after its deadline only earns nothing; a later one counts as lost.
+MAX_LATENESS_S = 0.5
+EXTRA_WAIT_S = 3.0  # further wait for a lost response: the time of its arrival shows the cause
 CONNECT_TIMEOUT_S = 2.0
 MAX_EXTRA_BYTES = 4096
 _HEAD_END = b"\r\n\r\n"
 
 
 @dataclass(frozen=True, slots=True)
-class RequestPlan:
-    """What a client asks for."""
+class RequestSpec:
+    """One request that a client sends."""
 
     request_id: str
     class_name: str
@@ -33,7 +34,7 @@
     first: int = 0
 
     def encode(self) -> bytes:
-        """Return the request as it is written."""
+        """Return the bytes of the request."""
         body = b"" if self.effect is Effect.IDEMPOTENT else b"order " + self.request_id.encode()
         method = "GET" if self.effect is Effect.IDEMPOTENT else "POST"
         lines = [
@@ -53,7 +54,7 @@
 
 
 class ClientConnection:
-    """One connection; several requests may be sent before the responses are read."""
+    """One client connection; several requests may be sent before the responses are read."""
 
     def __init__(
         self,
@@ -63,19 +64,22 @@
         records: list[ClientRequest],
     ) -> None:
         self.ingress = ingress
-        self.open = True  # another request may be sent
+        self.open = True  # whether another request may be sent
         self._reader = reader
         self._writer = writer
         self._records = records
         self._last: ClientRequest | None = None
-        self._owed = 0  # responses
-        self._rests_since = time.monotonic()
+        self._pending_responses = 0
+        self._idle_since = time.monotonic()
 
     @classmethod
     async def connect(
         cls, ingress: str, address: str, records: list[ClientRequest]
     ) -> ClientConnection:
-        """Connect to an ingress; OSError or TimeoutError if that fails."""
+        """Connect to an ingress.
+
+        Raise OSError or TimeoutError if that fails.
+        """
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*split_address(address))
         writer.transport.get_extra_info("socket").setsockopt(
@@ -83,26 +87,26 @@
         )
         return cls(ingress, reader, writer, records)
 
-    def has_ended(self) -> bool:
-        """Return whether the ingress has closed the connection, as far as is known here."""
+    def is_closed(self) -> bool:
+        """Return whether the connection is known to be closed at either end."""
         return not self.open or self._reader.at_eof() or self._writer.is_closing()
 
-    async def send(self, plan: RequestPlan, pieces: int = 1, pause_s: float = 0.0) -> ClientRequest:
-        """Write a request, in so many pieces with pauses between, and record it."""
-        await self._note_extra_bytes()
+    async def send(self, spec: RequestSpec, pieces: int = 1, pause_s: float = 0.0) -> ClientRequest:
+        """Write a request in a number of pieces, with pauses between them, and record it."""
+        await self._read_extra_bytes()
         record = ClientRequest(
-            plan.request_id,
+            spec.request_id,
             self.ingress,
-            plan.effect,
-            plan.timeout_s,
+            spec.effect,
+            spec.timeout_s,
             self._last is None,
             time.monotonic(),
-            time.monotonic() - self._rests_since,
+            time.monotonic() - self._idle_since,
         )
         self._last = record
-        self._owed += 1
+        self._pending_responses += 1
         self._records.append(record)
-        data = plan.encode()
+        data = spec.encode()
         size = -(-len(data) // pieces)
         for start in range(0, len(data), size):
             if start:
@@ -115,19 +119,19 @@
         record.sent_at = time.monotonic()
         return record
 
-    async def _note_extra_bytes(self) -> None:
-        """Note what has come since the last response, if none is owed."""
-        if self._last is None or self._owed:
+    async def _read_extra_bytes(self) -> None:
+        """Record bytes that arrived since the last response, unless a response is pending."""
+        if self._last is None or self._pending_responses:
             return
         with suppress(TimeoutError, ConnectionError):
-            async with asyncio.timeout(0):  # only for what has come already
+            async with asyncio.timeout(0):  # read only what has arrived already
                 self._last.extra_bytes = len(await self._reader.read(MAX_EXTRA_BYTES))
 
     async def receive(self, record: ClientRequest) -> None:
-        """Read the response to a request until long after its time."""
+        """Read the response to a request, and wait for it beyond its deadline."""
         assert record.sent_at is not None
         try:
-            async with asyncio.timeout(record.timeout_s + LATE_S + WATCH_S):
+            async with asyncio.timeout(record.timeout_s + MAX_LATENESS_S + EXTRA_WAIT_S):
                 head = await self._reader.readuntil(_HEAD_END)
                 record.received_bytes = len(head)
                 body = await self._reader.readexactly(_content_length(head))
@@ -140,15 +144,15 @@
             self.close()
         else:
             record.answered_at = time.monotonic()
-            self._owed -= 1
-            self._rests_since = record.answered_at
+            self._pending_responses -= 1
+            self._idle_since = record.answered_at
             record.status = int(head.split(b" ", 2)[1])
             record.body = body
             if b"connection: close" in head.lower():
                 self.close()
 
     async def leave(self, record: ClientRequest, after_s: float, reset: bool) -> None:
-        """Close the connection some time after a request, or read the response if it is earlier."""
+        """Close the connection after a time, unless the response is complete before."""
         receiving = asyncio.ensure_future(self.receive(record))
         await asyncio.wait([receiving], timeout=after_s)
         if receiving.done():
@@ -159,7 +163,7 @@
         self.close(reset)
 
     def close(self, reset: bool = False) -> None:
-        """Close the connection, by a FIN or a reset."""
+        """Close the connection with a FIN, or with a reset."""
         self.open = False
         if reset:
             reset_connection(cast(asyncio.Transport, self._writer.transport))
--- a/fleetlab/soak/endpoint_list.py
+++ b/fleetlab/soak/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list of a run, which all agents share, and the agent of one ingress."""
+"""The endpoint list that all agents of a run share, and the discovery agent of one ingress."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from fleetlab.stand_in import StandInServer, reset_connection
 from fleetlab.versioned_list import JsonObject, VersionedList
 
-MOVED_CLOSE_S = 1.5  # after a new configuration, when the old address closes its connections
-MAX_HOLD_S = 60.0
-FIRST_VERSION = 1  # of the list
+OLD_ADDRESS_CLOSE_DELAY_S = 1.5  # not used: see OLD_AGENT_CLOSE_DELAY_S in faults.py
+MAX_HOLD_S = 60.0  # longest time for which a poll is held open, regardless of its hold_ms
+FIRST_VERSION = 1  # version of the list before its first change
 
 
 class AgentFault(Enum):
-    """What an agent does with a poll, other than to respond."""
+    """How an agent fails to answer a poll."""
 
     NONE = "none"
-    SILENT = "silent"  # no response until the fault is over
-    RESET = "reset"  # each connection is reset
-    TORN = "torn"  # half of the response, then the end of the connection
+    SILENT = "silent"  # no response on this connection, even after the fault
+    RESET = "reset"  # connections are reset
+    TORN = "torn"  # half of the response, then a close
 
 
 @dataclass
 class SharedList:
-    """The list, its changes as they were made, and what wakes the agents' open polls."""
+    """The endpoint list, its changes in order, and an event that releases open polls."""
 
     entries: list[JsonObject]
     changes: list[ListChange] = field(default_factory=list)
@@ -48,36 +48,36 @@
         changed.set()
 
     def changes_since(self, version: int | None) -> list[ListChange]:
-        """Return the changes after a version of the list, each of which made one; None: all."""
+        """Return the changes since a version, or all for None; each change made one version."""
         return self.changes[0 if version is None else max(0, version - FIRST_VERSION) :]
 
 
 class SoakAgent(StandInServer):
-    """The agent of one ingress; it records when the ingress was told of each change."""
+    """The discovery agent of one ingress; it records when it sent each change to the ingress."""
 
     def __init__(self, ingress: str, shared: SharedList) -> None:
         super().__init__()
         self.ingress = ingress
         self.fault = AgentFault.NONE
-        self.unbounded = False  # whether responses have no length
+        self.unbounded = False  # whether responses have no stated length
         self.address = ""
         self._shared = shared
-        self.told: list[ListChange] = []
+        self.notifications: list[ListChange] = []
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen at a new address."""
+        """Listen on a port assigned by the system."""
         self.address = await self._listen()
 
     def begin_fault(self, fault: AgentFault) -> None:
-        """Meet all polls with a fault; a reset is applied to the open connections at once."""
+        """Apply a fault to all polls from now on; RESET also resets all open connections."""
         self.fault = fault
         if fault is AgentFault.RESET:
             for writer in list(self._writers):
                 reset_connection(cast(asyncio.Transport, writer.transport))
 
-    def close_soon(self) -> None:
-        """Close the port and all connections in the next turns of the loop."""
+    def schedule_stop(self) -> None:
+        """Schedule the close of the port and all connections on the event loop."""
         self._closing = asyncio.ensure_future(self.stop())
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -94,9 +94,9 @@
         self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         query = parse_qs(urlsplit(head.split(b" ", 2)[1].decode()).query)
-        known = int(query["from"][0]) if "from" in query else None
+        known_version = int(query["from"][0]) if "from" in query else None
         hold_s = float(query.get("hold_ms", ["0"])[0]) / 1000
-        if known == self._shared.list.version and self.fault is AgentFault.NONE:
+        if known_version == self._shared.list.version and self.fault is AgentFault.NONE:
             try:
                 async with asyncio.timeout(min(hold_s, MAX_HOLD_S)):
                     await self._shared.changed.wait()
@@ -108,21 +108,23 @@
             case AgentFault.RESET:
                 reset_connection(cast(asyncio.Transport, writer.transport))
                 return False
-        changes = None if known is None else self._shared.list.encode_changes(known)
-        told = self._shared.changes_since(known if changes is not None else None)
+        changes = None if known_version is None else self._shared.list.encode_changes(known_version)
+        delivered = self._shared.changes_since(known_version if changes is not None else None)
         body = changes if changes is not None else self._shared.list.encode_full()
-        # an ingress that has moved to a new agent has closed its end: it is told nothing here
+        # An ingress that has moved to a new agent has closed its end and is not notified here.
         if writer.transport.is_closing() or reader.at_eof():
             return False
         if self.fault is AgentFault.TORN:
-            writer.write(_bounded(body)[: -len(body) // 2])
+            writer.write(_encode_response(body)[: -len(body) // 2])
             return False
-        writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body if self.unbounded else _bounded(body))
+        writer.write(
+            b"HTTP/1.1 200 OK\r\n\r\n" + body if self.unbounded else _encode_response(body)
+        )
         await writer.drain()
         now = time.monotonic()
-        self.told += [ListChange(self.ingress, c.backend, c.state, now) for c in told]
+        self.notifications += [ListChange(self.ingress, c.backend, c.state, now) for c in delivered]
         return not self.unbounded
 
 
-def _bounded(body: bytes) -> bytes:
+def _encode_response(body: bytes) -> bytes:
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
--- a/fleetlab/soak/evidence.py
+++ b/fleetlab/soak/evidence.py
@@ -1,8 +1,9 @@
-"""What the oracles of a run judge, and what they find.
+"""The evidence that the oracles of a run check, and the violations that they report.
 
-The protocol's rules have 50 ms of slack of their own, and an ingress may be held up for 150 ms. All
-times are judged by that. An event beyond its bound is excused by no more than the time for which,
-by the trace, the very process or the soak itself waited for a processor meanwhile.
+The protocol's rules have 50 ms of slack of their own, and an ingress may be paused for 150 ms; all
+time bounds allow for that. An event beyond its bound is excused by at most the time for which, by
+the trace of waits, the ingress or the soak itself waited for a processor or a disk at the end of
+the measured interval.
 """
 
 from __future__ import annotations
@@ -14,24 +15,24 @@
 
 import msgspec
 
-from fleetlab.soak.records import Attempt, AttemptResult, Life, RunRecord
+from fleetlab.soak.records import Attempt, AttemptResult, ProcessRecord, RunRecord
 from fleetlab.soak.site import SoakSite
 
-SLACK_S = 0.05  # of the rules on sockets
-HOLD_UP_S = 0.15  # for which an ingress may be held up
-EXCUSING_S = 1.0  # before the end of an event: waits in it may have held the event up
-FAR_BEYOND = 100.0  # of a bound: also for what never came
+SLACK_S = 0.05  # slack of the protocol's rules on sockets
+PAUSE_ALLOWANCE_S = 0.15  # longest permitted pause of an ingress
+EXCUSED_WAIT_WINDOW_S = 1.0  # waits this long before the end of an event may have delayed it
+MAX_BOUND_RATIO = 100.0  # highest recorded ratio, also recorded for events that never occurred
 
 _ACCEPTED = re.compile(r"request accepted: subject=([0-9a-f]{16}) ")
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """A rule that was broken.
+    """A violation of a rule.
 
     Attributes:
-        rule: the name of the oracle.
-        subject: the request, process or backend that it is about.
-        detail: what was seen.
+        rule: the name of the rule.
+        subject: the request, process or backend that violated it.
+        detail: the observed values.
     """
 
     rule: str
@@ -41,16 +42,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What the oracles judge.
+    """The observations of one run that the oracles check.
 
     Attributes:
-        record: what was seen.
+        record: what clients, backends, discovery and the process control observed.
         site: the settings of the run.
-        logs: the log of each ingress, over all its lives.
-        crowd: whether idle clients filled the descriptors: new connections may be closed unread.
-        soak_pid: the process id of the soak, in the record's waits.
-        closest: how near each rule was come, as a part of its bound; filled by `within`.
-        excused: how many events were beyond a bound by less than a process waited meanwhile.
+        logs: the log of each ingress, over all its processes.
+        crowd: whether idle clients exhausted the descriptors, so that an ingress may close new
+            connections unread.
+        soak_pid: the process id of the soak, as used in the record's waits.
+        bound_ratios: the largest ratio of observed value to bound, by rule; filled while the
+            oracles run.
+        excused: the number of events, by rule, that exceeded a bound by no more than their
+            processes waited.
     """
 
     record: RunRecord
@@ -58,64 +62,66 @@
     logs: dict[str, str]
     crowd: bool = False
     soak_pid: int = 0
-    closest: dict[str, float] = field(default_factory=dict)
+    bound_ratios: dict[str, float] = field(default_factory=dict)
     excused: Counter[str] = field(default_factory=Counter)
 
-    def within(
-        self, rule: str, value_s: float, bound_s: float, ingress: str, moment: tuple[float, float]
+    def check_bound(
+        self, rule: str, value_s: float, bound_s: float, ingress: str, interval: tuple[float, float]
     ) -> bool:
-        """Return whether an event keeps its bound, and remember how near it came.
+        """Return whether a value is within its bound, and record the ratio of the two.
 
-        moment: begin and end of what was measured; what the processes waited then is allowed, but
-        in the last second alone: what they did before that was not held up by it.
+        interval: start and end of the measurement. The time for which the processes waited in its
+        last second is added to the bound; earlier waits did not delay the event.
         """
         if value_s > bound_s:
-            begin, end = moment
-            waited_s = self.waited_s(ingress, max(begin, end - EXCUSING_S), end)
+            start, end = interval
+            waited_s = self.waited_s(ingress, max(start, end - EXCUSED_WAIT_WINDOW_S), end)
             self.excused[rule] += bound_s < value_s <= bound_s + waited_s
             bound_s += waited_s
-        self.come_near(rule, value_s / bound_s)
+        self.record_bound_ratio(rule, value_s / bound_s)
         return value_s <= bound_s
 
-    def come_near(self, rule: str, part: float) -> None:
-        """Remember that a rule was come so near, as a part of its bound."""
-        self.closest[rule] = max(min(part, FAR_BEYOND), self.closest.get(rule, 0.0))
+    def record_bound_ratio(self, rule: str, ratio: float) -> None:
+        """Keep the largest ratio of observed value to bound for a rule."""
+        self.bound_ratios[rule] = max(min(ratio, MAX_BOUND_RATIO), self.bound_ratios.get(rule, 0.0))
 
-    def waited_s(self, ingress: str, begin: float, end: float) -> float:
-        """Return for how long an ingress and the soak itself waited between two times."""
-        pids = {life.pid for life in self.record.lives if life.ingress == ingress}
+    def waited_s(self, ingress: str, start: float, end: float) -> float:
+        """Return how long an ingress and the soak itself waited between two times, in seconds."""
+        pids = {process.pid for process in self.record.lives if process.ingress == ingress}
         return sum(
             wait.waited_s
             for wait in self.record.waits
             if wait.pid in pids | {self.soak_pid}
             and wait.began_at <= end
-            and wait.ended_at >= begin
+            and wait.ended_at >= start
         )
 
-    def paths_broke(self, ingress: str, begin: float, end: float) -> bool:
-        """Return whether connections that an ingress had made broke between two times."""
+    def had_broken_connections(self, ingress: str, start: float, end: float) -> bool:
+        """Return whether connections made by an ingress may have broken between two times."""
         return any(
-            broken.ingress == ingress and broken.began_at <= end and begin <= broken.ended_at
+            broken.ingress == ingress and broken.began_at <= end and start <= broken.ended_at
             for broken in self.record.broken_paths
         )
 
     def accepted_ids(self) -> set[str]:
-        """Return the ids of the requests that the ingresses have read and taken."""
+        """Return the ids of the requests that the ingresses logged as accepted."""
         return {match for text in self.logs.values() for match in _ACCEPTED.findall(text)}
 
-    def life_at(self, ingress: str, at: float) -> Life | None:
-        """Return the process that an ingress had at a time."""
-        for life in self.record.lives:
-            ended_at = life.ended_at if life.ended_at is not None else float("inf")
-            if life.ingress == ingress and life.started_at <= at <= ended_at:
-                return life
+    def process_at(self, ingress: str, at: float) -> ProcessRecord | None:
+        """Return the process of an ingress that ran at a time, or None."""
+        for process in self.record.lives:
+            ended_at = process.ended_at if process.ended_at is not None else float("inf")
+            if process.ingress == ingress and process.started_at <= at <= ended_at:
+                return process
         return None
 
-    def has_drained(self, life: Life) -> bool:
-        """Return whether a process has logged the end of its drain."""
-        lives = [known for known in self.record.lives if known.ingress == life.ingress]
-        logs = self.logs.get(life.ingress, "").split("serving: name=")[1:]
-        index = lives.index(life)
+    def has_drained(self, process: ProcessRecord) -> bool:
+        """Return whether a process logged the end of its drain."""
+        processes = [
+            candidate for candidate in self.record.lives if candidate.ingress == process.ingress
+        ]
+        logs = self.logs.get(process.ingress, "").split("serving: name=")[1:]
+        index = processes.index(process)
         return index < len(logs) and "drain finished" in logs[index]
 
     def attempts_by_request(self) -> dict[str, list[Attempt]]:
@@ -129,12 +135,15 @@
 Oracle = Callable[[Evidence], Iterable[Violation]]
 
 
-def first_warning(life: Life) -> float | None:
-    """Return when a process was first told to end."""
-    warnings = (life.signalled_at("SIGTERM"), life.signalled_at("SIGINT"))
-    return min((at for at in warnings if at is not None), default=None)
+def first_termination_signal_at(process: ProcessRecord) -> float | None:
+    """Return when a process was first sent SIGTERM or SIGINT, or None."""
+    signals = (process.signalled_at("SIGTERM"), process.signalled_at("SIGINT"))
+    return min((at for at in signals if at is not None), default=None)
 
 
 def may_have_run(attempt: Attempt) -> bool:
-    """Return whether an attempt that a backend has received may have run there."""
+    """Return whether a received attempt may have been executed by its backend.
+
+    All may, unless the backend responded that it had not started the request.
+    """
     return attempt.result is not AttemptResult.NOT_STARTED
--- a/fleetlab/soak/faults.py
+++ b/fleetlab/soak/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a plan on the processes, backends and agents of a run."""
+"""Injects the faults of a plan into the processes, backends and agents of a run."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from fleetlab.soak.endpoint_list import AgentFault, SharedList, SoakAgent
 from fleetlab.soak.ingress_process import IngressProcess
 from fleetlab.soak.population import Population
-from fleetlab.soak.records import BackendStart, BrokenPaths, RunRecord
+from fleetlab.soak.records import BackendStart, BrokenConnectionPeriod, RunRecord
 from fleetlab.soak.schedule import FaultKind, PlannedFault
 from fleetlab.soak.site import SoakSite
 from fleetlab.system_faults.control import SystemFault
 
-OLD_AGENT_CLOSES_S = 1.5  # after SIGHUP
-CROWD_SIZE = 60
-FORGET_IDLE_S = 0.1  # after which idle connections are forgotten
+OLD_AGENT_CLOSE_DELAY_S = 1.5  # time from SIGHUP to the close of the previous agent
+CROWD_SIZE = 60  # number of idle connections in a crowd
+STALE_AFTER_S = 0.1  # idle time after which connections become stale during BACKEND_FORGETS
 
 _COUNTER_FAULTS = {
     FaultKind.COUNTER_DELAYED: PathFault.DELAYED,
@@ -38,7 +38,7 @@
     FaultKind.COUNTER_RESET: PathFault.RESET,
     FaultKind.COUNTER_HALF_CLOSED: PathFault.HALF_CLOSED,
 }
-# Of the calls that fail while such a fault lasts.
+# The system fault of each kind, and the fraction of calls that fail while it lasts.
 _SYSTEM_FAULTS = {
     FaultKind.SYSTEM_ACCEPT: (SystemFault.ACCEPT, 0.3),
     FaultKind.SYSTEM_SOCKET: (SystemFault.SOCKET, 0.2),
@@ -58,18 +58,38 @@
 
 @dataclass
 class Node:
-    """An ingress with what is its own: its agent, its clients, and who may restart it."""
+    """An ingress with its agent and clients.
+
+    Attributes:
+        process: the process of the ingress.
+        agent: the present discovery agent.
+        population: the clients.
+        agents: all agents so far, including the present one.
+        lock: serializes restarts and reloads of the ingress.
+    """
 
     process: IngressProcess
     agent: SoakAgent
     population: Population
-    agents: list[SoakAgent] = field(default_factory=list)  # all so far
+    agents: list[SoakAgent] = field(default_factory=list)
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
 
 @dataclass
 class FaultInjector:
-    """Carries out faults, each as a task of its own."""
+    """Carries out faults, each in a task of its own.
+
+    Attributes:
+        site: the settings of the run.
+        nodes: the ingresses, by the target index of their faults.
+        backends: the backends, by the target index of their faults.
+        shared: the endpoint list.
+        record: where faults and backend starts are recorded.
+        random: the generator of delays and backend behaviours.
+        counter_path: the proxy before the counter, if there is a counter.
+        disrupted_backends: the indices of the backends that a fault has crashed, cut off or
+            begun to replace.
+    """
 
     site: SoakSite
     nodes: list[Node]
@@ -78,15 +98,15 @@
     record: RunRecord
     random: Random
     counter_path: PathProxy | None = None
-    busy_backends: set[int] = field(default_factory=set)  # that are away, or about to be
+    disrupted_backends: set[int] = field(default_factory=set)
 
     async def run(self, faults: tuple[PlannedFault, ...], started_at: float) -> None:
-        """Carry out all faults, each at its time; return when the last one is over."""
+        """Carry out all faults, each at its time; return when all have ended."""
         async with asyncio.TaskGroup() as tasks:
             for fault in faults:
-                tasks.create_task(self._at_its_time(fault, started_at))
+                tasks.create_task(self._run_fault(fault, started_at))
 
-    async def _at_its_time(self, fault: PlannedFault, started_at: float) -> None:
+    async def _run_fault(self, fault: PlannedFault, started_at: float) -> None:
         await asyncio.sleep(max(0.0, started_at + fault.at_s - time.monotonic()))
         name = fault.kind.value
         self.record.faults[name] = self.record.faults.get(name, 0) + 1
@@ -96,9 +116,9 @@
             await self._list_fault(self.nodes[fault.target].agent, fault)
         elif fault.kind in _COUNTER_FAULTS:
             assert self.counter_path is not None
-            self.counter_path.begin_fault(_COUNTER_FAULTS[fault.kind])
+            self.counter_path.set_fault(_COUNTER_FAULTS[fault.kind])
             await asyncio.sleep(fault.seconds)
-            self.counter_path.begin_fault(PathFault.NONE)
+            self.counter_path.set_fault(PathFault.NONE)
         elif fault.kind in _SYSTEM_FAULTS:
             await self._system_fault(self.nodes[fault.target].process, fault)
         elif fault.kind is FaultKind.CLOCK_STEP:
@@ -113,7 +133,7 @@
             case FaultKind.PAUSE:
                 await node.process.pause(fault.seconds)
             case FaultKind.CROWD:
-                await node.population.run_crowd(CROWD_SIZE, fault.seconds)
+                await node.population.open_idle_connections(CROWD_SIZE, fault.seconds)
             case FaultKind.RESTART:
                 async with node.lock:
                     await self._signal(node.process, fault)
@@ -127,7 +147,7 @@
                     await self._reload(node, fault)
 
     async def _signal(self, process: IngressProcess, fault: PlannedFault) -> None:
-        """Send a series of signals, and SIGKILL as early after SIGTERM as it may come."""
+        """Send a series of signals, then SIGKILL at the earliest time after SIGTERM if needed."""
         terminated_at = None
         for name in fault.signals:
             process.send_signal(signal.Signals[name])
@@ -144,10 +164,10 @@
         try:
             await process.start()
         except (TimeoutError, RuntimeError):
-            await process.kill()  # its life has no time at which it was ready
+            await process.kill()  # its record has no ready_at, which the oracles report
 
     async def _reload(self, node: Node, fault: PlannedFault) -> None:
-        """Move the agent, each time anew for each of the signals."""
+        """Move the agent to a new address before each of the signals."""
         for name in fault.signals:
             old = node.agent
             node.agent = SoakAgent(node.process.name, self.shared)
@@ -156,17 +176,17 @@
             node.process.config["discovery"] = node.agent.address
             node.process.write_config()
             node.process.send_signal(signal.Signals[name])
-            asyncio.get_running_loop().call_later(OLD_AGENT_CLOSES_S, old.close_soon)
+            asyncio.get_running_loop().call_later(OLD_AGENT_CLOSE_DELAY_S, old.schedule_stop)
             await asyncio.sleep(fault.gap_s)
 
     async def _system_fault(self, process: IngressProcess, fault: PlannedFault) -> None:
-        failing, probability = _SYSTEM_FAULTS[fault.kind]
+        system_fault, probability = _SYSTEM_FAULTS[fault.kind]
         began_at = time.monotonic()
-        process.system_faults.set_probability(failing, probability)
+        process.system_faults.set_probability(system_fault, probability)
         await asyncio.sleep(fault.seconds)
-        process.system_faults.set_probability(failing, 0.0)
-        if failing is SystemFault.BROKEN_CONNECTION:
-            broken = BrokenPaths(process.name, began_at, time.monotonic())
+        process.system_faults.set_probability(system_fault, 0.0)
+        if system_fault is SystemFault.BROKEN_CONNECTION:
+            broken = BrokenConnectionPeriod(process.name, began_at, time.monotonic())
             self.record.broken_paths.append(broken)
 
     # ---- discovery
@@ -187,50 +207,50 @@
         backend = self.backends[fault.target]
         match fault.kind:
             case FaultKind.BACKEND_HANGS:
-                await self._behave(backend, always(Behaviour.HANG), fault.seconds)
+                await self._set_behaviour(backend, always(Behaviour.HANG), fault.seconds)
             case FaultKind.BACKEND_FAILS:
                 chooser = weighted(self.random, FAILING_WEIGHTS)
-                await self._behave(backend, chooser, fault.seconds)
+                await self._set_behaviour(backend, chooser, fault.seconds)
             case FaultKind.BACKEND_RESETS_LATE:
                 chooser = weighted(self.random, LATE_RESET_WEIGHTS)
-                await self._behave(backend, chooser, fault.seconds)
+                await self._set_behaviour(backend, chooser, fault.seconds)
             case FaultKind.BACKEND_UNBOUNDED:
                 chooser = weighted(self.random, UNBOUNDED_WEIGHTS)
-                await self._behave(backend, chooser, fault.seconds)
+                await self._set_behaviour(backend, chooser, fault.seconds)
             case FaultKind.BACKEND_FORGETS:
-                backend.state.idle_close_s, before = FORGET_IDLE_S, backend.state.idle_close_s
-                backend.state.forget_idle = True
+                backend.state.idle_timeout_s, before = STALE_AFTER_S, backend.state.idle_timeout_s
+                backend.state.idle_becomes_stale = True
                 await asyncio.sleep(fault.seconds)
-                backend.state.idle_close_s = before
-                backend.state.forget_idle = False
+                backend.state.idle_timeout_s = before
+                backend.state.idle_becomes_stale = False
             case _:
-                await self._take_away(backend, fault)
+                await self._disrupt_backend(backend, fault)
 
-    async def _behave(self, backend: SoakBackend, chooser: Chooser, seconds: float) -> None:
-        backend.state.choose = chooser
+    async def _set_behaviour(self, backend: SoakBackend, chooser: Chooser, seconds: float) -> None:
+        backend.state.choose_behaviour = chooser
         await asyncio.sleep(seconds)
-        backend.state.choose = weighted(self.random, NORMAL_WEIGHTS)
+        backend.state.choose_behaviour = weighted(self.random, NORMAL_WEIGHTS)
 
-    async def _take_away(self, backend: SoakBackend, fault: PlannedFault) -> None:
-        """Let a backend crash, vanish or drain, unless it is away already."""
-        if fault.target in self.busy_backends:
+    async def _disrupt_backend(self, backend: SoakBackend, fault: PlannedFault) -> None:
+        """Crash, cut off or replace a backend, unless such a fault is in progress there."""
+        if fault.target in self.disrupted_backends:
             return
-        self.busy_backends.add(fault.target)
+        self.disrupted_backends.add(fault.target)
         match fault.kind:
             case FaultKind.BACKEND_CRASHES:
                 await backend.crash()
                 await asyncio.sleep(fault.seconds / 2)
                 await backend.restart()
             case FaultKind.BACKEND_UNREACHABLE:
-                await backend.vanish()
+                await backend.become_unreachable()
                 await asyncio.sleep(fault.seconds)
-                await backend.reappear()
+                await backend.become_reachable()
             case FaultKind.BACKEND_DRAINS:
                 await self._replace(backend, fault)
-        self.busy_backends.discard(fault.target)
+        self.disrupted_backends.discard(fault.target)
 
     async def _replace(self, backend: SoakBackend, fault: PlannedFault) -> None:
-        """Drain a backend, remove it, and start it anew."""
+        """Drain a backend, remove it from the list, and restart it as a new incarnation."""
         self.shared.set_state(fault.target, "leaving")
         await asyncio.sleep(self.site.drain_grace_s + fault.seconds / 2)
         self.shared.set_state(fault.target, "left")
--- a/fleetlab/soak/run.py
+++ b/fleetlab/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: from the plan of a seed to its violations."""
+"""One run of the soak: carries out a plan and reports the rule violations."""
 
 from __future__ import annotations
 
@@ -23,38 +23,40 @@
 from fleetlab.soak.evidence import Evidence, Violation
 from fleetlab.soak.faults import FaultInjector, Node
 from fleetlab.soak.ingress_process import IngressProcess
-from fleetlab.soak.oracles import judge
-from fleetlab.soak.population import Mix, Population
+from fleetlab.soak.oracles import find_violations
+from fleetlab.soak.population import ClientMix, Population
 from fleetlab.soak.records import RunRecord
 from fleetlab.soak.schedule import SYSTEM_FAULT_KINDS, SoakPlan
 from fleetlab.soak.wait_monitor import WaitMonitor
 from fleetlab.system_faults.control import SystemFault, SystemFaults
 from fleetlab.system_faults.library import build_library
 
-STARTS_AT_ONCE = 8  # processes that start side by side
-LAST_REQUESTS_S = 1.0  # clients may go on for so long after the last process has been told to end
-COUNTER_DELAY_S = 0.15  # of each piece on a path to the counter that is delayed
-REST_S = 1.0  # from the end of the last client to the count of descriptors
-CROWDED_SOCKETS = 96  # of an ingress that idle clients are to crowd
+MAX_CONCURRENT_STARTS = 8  # processes that start at the same time
+REQUESTS_AFTER_SIGTERM_S = 1.0  # not used: clients stop when the last process has exited
+COUNTER_DELAY_S = 0.15  # delay of each chunk on a delayed path to the counter
+DESCRIPTOR_COUNT_DELAY_S = 1.0  # delay from the end of the last client to the descriptor count
+CROWDED_SOCKETS = 96  # socket limit of the ingresses in a run with a crowd of idle clients
 
 
 class SoakResult(msgspec.Struct, frozen=True):
-    """What one run gave.
+    """The result of one run.
 
     Attributes:
-        seed: of the run.
-        ingresses: how many processes at a time.
-        lives: how many processes in all.
-        seconds: of load.
-        requests: how many were sent.
-        statuses: how many got which status; 0: none.
-        attempts: how many the backends received.
-        faults: how many began, by kind.
-        closest: how near each rule was come, as a part of its bound.
-        excused: how many events passed a bound by less than their process waited for a processor.
-        longest_wait_ms: that a process, or the soak itself, waited within a twentieth of a second.
-        cpu_pressure: the share of the time in which some process waited for a processor.
-        violations: of the rules.
+        seed: the seed of the run.
+        ingresses: the number of ingress processes at a time.
+        lives: the number of ingress processes in total, including restarts.
+        seconds: the duration of the load, in seconds.
+        requests: the number of requests sent.
+        statuses: the number of responses, by status; 0 stands for no response.
+        attempts: the number of attempts that the backends received.
+        faults: the number of faults that began, and of system calls that failed, by kind.
+        closest: the largest ratio of observed value to bound, by rule.
+        excused: the number of events, by rule, that exceeded a bound by no more than their
+            processes waited for a processor or a disk.
+        longest_wait_ms: the longest wait of a process, or of the soak itself, within one sampling
+            interval (a twentieth of a second), in milliseconds.
+        cpu_pressure: the fraction of the time in which some process waited for a processor.
+        violations: the rule violations.
     """
 
     seed: int
@@ -82,35 +84,37 @@
         self._record = RunRecord()
         self._waits = WaitMonitor(self._pids, self._record.waits)
         self._site = replace(plan.site, sockets=CROWDED_SOCKETS) if plan.crowd else plan.site
-        self.cpu_pressure = 0.0  # the share of the time in which some process had to wait
+        self.cpu_pressure = 0.0  # fraction of the time in which some process waited for a processor
         self._backends: list[SoakBackend] = []
         self._nodes: list[Node] = []
         self._counter_path: PathProxy | None = None
         self._shared: SharedList
 
-    async def play(self) -> Evidence:
-        """Play the plan; everything that was started has ended afterwards."""
+    async def run(self) -> Evidence:
+        """Carry out the plan and return the evidence; all processes and servers have ended then."""
         async with AsyncExitStack() as resources:
             await self._start_backends(resources)
             counter = await self._start_counter(resources)
             await self._start_ingresses(resources, counter)
-            await self._load()
+            await self._run_load()
         self._record.list_changes += self._shared.changes
         for node in self._nodes:
-            self._record.lives += node.process.lives
+            self._record.lives += node.process.process_records
             self._count_failed_calls(node.process.system_faults)
-            self._record.list_changes += [told for agent in node.agents for told in agent.told]
+            self._record.list_changes += [
+                change for agent in node.agents for change in agent.notifications
+            ]
         logs = {node.process.name: node.process.log_text() for node in self._nodes}
         return Evidence(self._record, self._site, logs, self._plan.crowd, os.getpid())
 
     def _count_failed_calls(self, faults: SystemFaults) -> None:
         for kind in SystemFault:
-            if count := faults.count(kind):
+            if count := faults.count_failed_calls(kind):
                 name = f"calls_failed_{kind.name.lower()}"
                 self._record.faults[name] = self._record.faults.get(name, 0) + count
 
     def _pids(self) -> list[int]:
-        return [node.process.life.pid for node in self._nodes if node.process.running]
+        return [node.process.process_record.pid for node in self._nodes if node.process.running]
 
     async def _start_backends(self, resources: AsyncExitStack) -> None:
         for _ in range(self._plan.backends):
@@ -138,12 +142,12 @@
         return self._counter_path.address
 
     async def _start_ingresses(self, resources: AsyncExitStack, counter: str) -> None:
-        turns = asyncio.Semaphore(STARTS_AT_ONCE)
+        start_slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
         faults = {fault.kind for fault in self._plan.faults}
         library = build_library(self._folder) if faults & SYSTEM_FAULT_KINDS else None
 
         async def start(process: IngressProcess) -> None:
-            async with turns:
+            async with start_slots:
                 await process.start()
 
         for number in range(self._plan.ingresses):
@@ -157,7 +161,7 @@
             for fault in self._plan.faults:
                 if fault.before_start and fault.target == number:
                     process.system_faults.step_clock(fault.seconds)
-            population = Population(self._site, process, self._random, self._record, Mix())
+            population = Population(self._site, process, self._random, self._record, ClientMix())
             node = Node(process, agent, population, [agent])
             resources.push_async_callback(self._stop_node, node)
             self._nodes.append(node)
@@ -168,8 +172,11 @@
         for agent in node.agents:
             await agent.stop()
 
-    async def _load(self) -> None:
-        """Run clients and faults, then end all processes while the clients go on."""
+    async def _run_load(self) -> None:
+        """Run clients and faults, then terminate all processes.
+
+        The clients keep sending meanwhile, unless the plan lets them leave first.
+        """
         stop = asyncio.Event()
         monitor = asyncio.create_task(self._waits.run())
         clients = [
@@ -193,11 +200,13 @@
         started_at = time.monotonic()
         waited_s = cpu_pressure_s()
         try:
-            later = tuple(fault for fault in self._plan.faults if not fault.before_start)
-            await injector.run(later, started_at)
+            faults_after_start = tuple(
+                fault for fault in self._plan.faults if not fault.before_start
+            )
+            await injector.run(faults_after_start, started_at)
             await asyncio.sleep(max(0.0, started_at + self._plan.seconds - time.monotonic()))
-            if self._plan.rests:
-                await self._rest(stop, clients)
+            if self._plan.clients_leave_first:
+                await self._count_descriptors_at_rest(stop, clients)
             await asyncio.gather(
                 *(node.process.terminate(self._site.kill_after_s) for node in self._nodes)
             )
@@ -208,24 +217,26 @@
             elapsed_s = time.monotonic() - started_at
             self.cpu_pressure = (cpu_pressure_s() - waited_s) / elapsed_s
 
-    async def _rest(self, stop: asyncio.Event, clients: list[asyncio.Task[None]]) -> None:
-        """Let the clients leave, and count what the processes have open then."""
+    async def _count_descriptors_at_rest(
+        self, stop: asyncio.Event, clients: list[asyncio.Task[None]]
+    ) -> None:
+        """Stop the clients, then count the open descriptors and backend connections."""
         stop.set()
         await asyncio.gather(*clients)
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(DESCRIPTOR_COUNT_DELAY_S)
         open_at_backends = sum(len(backend.connections) for backend in self._backends)
         self._record.backend_connections_at_rest = open_at_backends
         for node in self._nodes:
             if node.process.running:
-                node.process.life.descriptors_at_rest = node.process.open_descriptors()
+                node.process.process_record.descriptors_at_rest = node.process.open_descriptors()
 
 
-async def play(plan: SoakPlan, folder: Path) -> tuple[SoakResult, Evidence]:
-    """Play a plan and judge it; logs and configurations are left in the folder."""
+async def run_plan(plan: SoakPlan, folder: Path) -> tuple[SoakResult, Evidence]:
+    """Carry out a plan and check it; logs and configurations remain in the folder."""
     run = SoakRun(plan, folder)
-    evidence = await run.play()
+    evidence = await run.run()
     record = evidence.record
-    violations = judge(evidence)
+    violations = find_violations(evidence)
     statuses: dict[str, int] = {}
     for request in record.requests:
         statuses[str(request.status)] = statuses.get(str(request.status), 0) + 1
@@ -238,7 +249,7 @@
         statuses,
         len(record.attempts),
         record.faults,
-        {rule: round(part, 3) for rule, part in sorted(evidence.closest.items())},
+        {rule: round(ratio, 3) for rule, ratio in sorted(evidence.bound_ratios.items())},
         dict(evidence.excused),
         round(1000 * max((wait.waited_s for wait in record.waits), default=0.0), 1),
         round(run.cpu_pressure, 2),
--- a/sumacpost/discovery/endpoint_list.py
+++ b/sumacpost/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint lists, read in pieces: what is held of one doesn't grow with the fleet.
+"""Incremental parsing of endpoint lists, with memory use that doesn't grow with the fleet.
 
 A list is a JSON object: "rev" is its version, "all" tells a full list from changes to an earlier
 one, and "targets" is the array of its entries.
@@ -13,23 +13,23 @@
 
 from sumacpost.address import Address, parse_address
 from sumacpost.discovery.deduplication_peers import (
-    DEDUPLICATION_PEERS,
+    DEDUPLICATION_PEERS_PER_CELL,
     DeduplicationPeers,
     ListedBackend,
 )
-from sumacpost.discovery.incremental_json import IncrementalJson, JsonEvent
+from sumacpost.discovery.incremental_json import IncrementalJsonDecoder, JsonEvent
 from sumacpost.errors import EndpointListError
 from sumacpost.model import BackendId, Endpoint, EndpointListUpdate, EndpointStatus, UpdateKind
 from sumacpost.policy.subsetting import Partition, splitmix64
 
-# Four times what 99,000 backends take, for lists that are indented.
+# Four times the size of a list of 99,000 backends, to allow for indented lists.
 MAX_LIST_BYTES = 64 * 1024 * 1024
-MAX_ENTRIES = 1 << 18  # more than twice as many backends as the largest fleet that is planned
-MAX_DEPTH = 8  # of nested values; a list has three
-MAX_SIZE = 1e6  # of a backend, relative to a standard one
+MAX_ENTRIES = 1 << 18  # more than twice the backends of the largest planned fleet
+MAX_DEPTH = 8  # levels of nested values; a valid list needs three
+MAX_BACKEND_SIZE = 1e6  # relative to a standard backend
 MAX_BOOT_MS = 1e15
-UNKNOWN_NAME = 0xFFFF  # the number of a zone or machine type that the settings don't name
-STATUSES = {
+UNKNOWN_INDEX = 0xFFFF  # index of a zone or machine type that the settings don't name
+STATUS_BY_NAME = {
     "active": EndpointStatus.READY,
     "leaving": EndpointStatus.DRAINING,
     "left": EndpointStatus.GONE,
@@ -42,129 +42,131 @@
 
 
 class EndpointList(NamedTuple):
-    """A list in the gateway's form, and the addresses of its backends."""
+    """An endpoint list as an update for the gateway, and the addresses of its backends."""
 
     update: EndpointListUpdate
     addresses: AddressByBackend
 
 
 def backend_id(uid: str) -> BackendId:
-    """Return the number of a backend, the same at every ingress and after every restart."""
+    """Return the id of a backend, the same at every ingress and after every restart."""
     return int.from_bytes(blake2b(uid.encode(), digest_size=6).digest(), "big")
 
 
-class _Value(Enum):
-    """The kinds of JSON values that a parser can be within."""
+class _JsonContext(Enum):
+    """The kinds of JSON values that can enclose the parser's position."""
 
     DOCUMENT = auto()
-    LIST = auto()  # the object
+    LIST = auto()  # the outermost object
     TARGETS = auto()  # the array of entries
     ENTRY = auto()
-    IGNORED = auto()  # a nested value that no field known here has
+    IGNORED = auto()  # a nested value of an unknown field, or of one that must not be nested
 
 
 class EndpointListParser:
-    """Builds one list from JSON events, holding only the entries that the gateway's partition has.
+    """Builds one list from JSON events, storing only what the gateway needs.
 
-    The partition grows with the list, and what it no longer has is dropped at once.
+    The gateway needs the entries of its partition and its deduplication peers. The partition is
+    divided as the list grows, and entries that it no longer contains are dropped immediately.
     """
 
     def __init__(self, reader: EndpointListReader, partition: Partition) -> None:
         self.partition = partition
         self._reader = reader
-        self._enclosing: list[_Value] = []  # the values around the present one, outermost first
-        self._within = _Value.DOCUMENT
+        self._outer_contexts: list[_JsonContext] = []  # enclosing values, outermost first
+        self._context = _JsonContext.DOCUMENT
         self._list_fields: dict[str, Any] = {}
         self._entry_fields: dict[str, Any] = {}
-        self._fields: dict[str, Any] | None = None  # those of the present value, if it has any
-        self._key = ""  # of the present field
+        # Fields of the object that is being parsed; None where fields are ignored.
+        self._current_fields: dict[str, Any] | None = None
+        self._current_key = ""
         self._entry_count = 0
-        self._present_count = 0  # entries that are not gone
-        self._held: dict[BackendId, ListedBackend] = {}
+        self._present_count = 0  # entries of backends that are not gone
+        self._stored: dict[BackendId, ListedBackend] = {}
         self._peers = DeduplicationPeers(reader.rank)
 
     def send(self, event: JsonEvent) -> None:
-        """Take the next event; raise EndpointListError if no list continues like that."""
+        """Process the next event; raise EndpointListError if it is invalid at this position."""
         name, value = event
         if name == "map_key":
-            if self._fields is not None:
-                self._key = value
+            if self._current_fields is not None:
+                self._current_key = value
         elif name in START_EVENTS:
-            self._begin(is_map=name == "start_map")
+            self._begin_value(is_map=name == "start_map")
         elif name in END_EVENTS:
-            self._end()
-        elif self._fields is not None:
-            self._fields[self._key] = value
-        elif self._within is not _Value.IGNORED:
-            raise EndpointListError(f"{value!r:.40} where an object belongs")
+            self._end_value()
+        elif self._current_fields is not None:
+            self._current_fields[self._current_key] = value
+        elif self._context is not _JsonContext.IGNORED:
+            raise EndpointListError(f"expected an object, got {value!r:.40}")
 
     @property
-    def held_count(self) -> int:
-        """The number of entries that are held so far."""
-        return len(self._held) + len(self._peers)
+    def stored_count(self) -> int:
+        """The number of entries stored so far."""
+        return len(self._stored) + len(self._peers)
 
     def result(self, cached: bool = False) -> EndpointList:
-        """Return the list, once all of it has come; raise EndpointListError if it is none.
+        """Return the complete list; raise EndpointListError if it is invalid.
 
-        cached: it comes from this ingress's configuration, not from discovery.
+        cached: whether the list comes from this ingress's configuration, not from discovery.
         """
         try:
             targets = self._list_fields["targets"]
             is_full = bool(self._list_fields["all"])
             version = int(self._list_fields["rev"])
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise EndpointListError(f"no list of backends: {error!r}") from error
+            raise EndpointListError(f"invalid endpoint list: {error!r}") from error
         if not isinstance(targets, list):
-            raise EndpointListError("its targets are no array")
+            raise EndpointListError("'targets' is not an array")
         kind = UpdateKind.CHANGES
         if is_full:
             kind = UpdateKind.CACHED if cached else UpdateKind.FULL
             if self.partition.partition_count > 1 and self._reader.has_cell_scope:
                 self._choose_deduplication_peers()
-        entries = [listed.endpoint for listed in self._held.values()]
+        entries = [listed.endpoint for listed in self._stored.values()]
         return EndpointList(
             EndpointListUpdate(kind, entries, version, self.partition.partition_count),
-            {backend: listed.address for backend, listed in self._held.items()},
+            {backend: listed.address for backend, listed in self._stored.items()},
         )
 
-    def _begin(self, is_map: bool) -> None:
-        self._enclosing.append(self._within)
-        if len(self._enclosing) > MAX_DEPTH:
-            raise EndpointListError("values nested too deep")
-        match self._within:
-            case _Value.DOCUMENT:
+    def _begin_value(self, is_map: bool) -> None:
+        self._outer_contexts.append(self._context)
+        if len(self._outer_contexts) > MAX_DEPTH:
+            raise EndpointListError(f"values nested deeper than {MAX_DEPTH} levels")
+        match self._context:
+            case _JsonContext.DOCUMENT:
                 if not is_map:
-                    raise EndpointListError("no object")
-                self._enter(_Value.LIST)
-            case _Value.LIST if self._key == "targets":
-                # An empty array stands for the entries, which are held elsewhere.
+                    raise EndpointListError("expected an object, got an array")
+                self._set_context(_JsonContext.LIST)
+            case _JsonContext.LIST if self._current_key == "targets":
+                # An empty array represents the entries, which are stored separately.
                 self._list_fields["targets"] = None if is_map else []
-                self._enter(_Value.IGNORED if is_map else _Value.TARGETS)
-            case _Value.TARGETS:
+                self._set_context(_JsonContext.IGNORED if is_map else _JsonContext.TARGETS)
+            case _JsonContext.TARGETS:
                 if not is_map:
-                    raise EndpointListError("an array where an entry belongs")
+                    raise EndpointListError("expected an entry, got an array")
                 self._entry_fields = {}
-                self._enter(_Value.ENTRY)
-            case _Value.ENTRY:
-                self._entry_fields[self._key] = None
-                self._enter(_Value.IGNORED)
+                self._set_context(_JsonContext.ENTRY)
+            case _JsonContext.ENTRY:
+                self._entry_fields[self._current_key] = None
+                self._set_context(_JsonContext.IGNORED)
             case _:
-                self._enter(_Value.IGNORED)
+                self._set_context(_JsonContext.IGNORED)
 
-    def _end(self) -> None:
-        ended = self._within
-        self._enter(self._enclosing.pop())
-        if ended is _Value.ENTRY:
+    def _end_value(self) -> None:
+        ended = self._context
+        self._set_context(self._outer_contexts.pop())
+        if ended is _JsonContext.ENTRY:
             self._add_entry(self._entry_fields)
 
-    def _enter(self, value: _Value) -> None:
-        self._within = value
-        if value is _Value.ENTRY:
-            self._fields = self._entry_fields
-        elif value is _Value.LIST:
-            self._fields = self._list_fields
+    def _set_context(self, value: _JsonContext) -> None:
+        self._context = value
+        if value is _JsonContext.ENTRY:
+            self._current_fields = self._entry_fields
+        elif value is _JsonContext.LIST:
+            self._current_fields = self._list_fields
         else:
-            self._fields = None
+            self._current_fields = None
 
     def _add_entry(self, raw: dict[str, Any]) -> None:
         self._entry_count += 1
@@ -172,57 +174,58 @@
             raise EndpointListError(f"more than {MAX_ENTRIES} entries")
         try:
             backend = backend_id(raw["uid"])
-            status = STATUSES[raw["state"]]
-            if self.partition.holds(backend) or self._reader.is_deduplication_peer(backend):
-                self._held[backend] = self._reader.listed_backend(backend, status, raw)
+            status = STATUS_BY_NAME[raw["state"]]
+            if self.partition.contains(backend) or self._reader.is_deduplication_peer(backend):
+                self._stored[backend] = self._reader.parse_entry(backend, status, raw)
             elif self._reader.has_cell_scope:
-                # Most entries end here: only the few that are wanted are converted.
+                # Most entries are skipped here; only the few candidates are converted.
                 cell = int(raw.get("pod_group", 0))
-                if self._peers.wants(backend, status, cell):
-                    self._peers.add(self._reader.listed_backend(backend, status, raw))
+                if self._peers.is_candidate(backend, status, cell):
+                    self._peers.add(self._reader.parse_entry(backend, status, raw))
         except (KeyError, TypeError, AttributeError, OverflowError, ValueError) as error:
             raise EndpointListError(f"{raw!r:.200}: {error!r}") from error
         self._present_count += status is not EndpointStatus.GONE
-        if self.partition.grow_for(self._present_count):
+        if self.partition.split_to_fit(self._present_count):
             self._drop_other_partitions()
 
     def _drop_other_partitions(self) -> None:
-        for backend in [held for held in self._held if not self.partition.holds(held)]:
-            listed = self._held.pop(backend)
+        for backend in [stored for stored in self._stored if not self.partition.contains(stored)]:
+            listed = self._stored.pop(backend)
             endpoint = listed.endpoint
-            if self._reader.has_cell_scope and self._peers.wants(
+            if self._reader.has_cell_scope and self._peers.is_candidate(
                 backend, endpoint.state, endpoint.cell
             ):
                 self._peers.add(listed)
 
     def _choose_deduplication_peers(self) -> None:
-        """Hold the same number of peers for each cell that the partition has a backend of.
+        """Choose the same number of peers for each cell with a backend in the partition.
 
-        Those that the last list gave come first.
+        Peers that were chosen for the last list take precedence.
         """
         cells: set[int] = set()
         peers_by_cell: dict[int, list[BackendId]] = {}
-        for backend, listed in self._held.items():
+        for backend, listed in self._stored.items():
             cell = listed.endpoint.cell
-            if self.partition.holds(backend):
+            if self.partition.contains(backend):
                 cells.add(cell)
             else:
                 peers_by_cell.setdefault(cell, []).append(backend)
         for cell, peers in peers_by_cell.items():
-            for backend in peers[DEDUPLICATION_PEERS if cell in cells else 0 :]:
-                del self._held[backend]
+            for backend in peers[DEDUPLICATION_PEERS_PER_CELL if cell in cells else 0 :]:
+                del self._stored[backend]
         for cell in cells:
-            missing = max(0, DEDUPLICATION_PEERS - len(peers_by_cell.get(cell, ())))
-            for listed in self._peers.first(cell, missing):
-                self._held[listed.endpoint.backend] = listed
+            missing = max(0, DEDUPLICATION_PEERS_PER_CELL - len(peers_by_cell.get(cell, ())))
+            for listed in self._peers.lowest_ranked(cell, missing):
+                self._stored[listed.endpoint.backend] = listed
 
 
 class EndpointListReader:
-    """Reads endpoint lists into the gateway's form, and remembers which backends it holds.
+    """Reads endpoint lists as updates for the gateway, and records the backends that it knows.
 
     Attributes:
-        has_cell_scope: some class of requests must be retried in the cell of the first attempt.
-        needs_repartitioning: a full list is wanted, as another partition count fits the fleet.
+        has_cell_scope: whether a request class must be retried in the cell of the first attempt.
+        needs_repartitioning: whether the fleet size requires another partition count, and so a
+            full list.
     """
 
     def __init__(
@@ -240,17 +243,17 @@
         self._gateways = gateways
         self._index = index
         self._partition_count = 1
-        self._held: dict[BackendId, None] = {}
-        self._held_in_partition = 0  # without the deduplication peers
+        self._known_backends: dict[BackendId, None] = {}
+        self._partition_backend_count = 0  # known backends without deduplication peers
 
     def is_deduplication_peer(self, backend: BackendId) -> bool:
-        """Return whether a backend of another partition is held, as of the last list."""
-        return self.has_cell_scope and backend in self._held
+        """Return whether a backend of another partition is known from the last list."""
+        return self.has_cell_scope and backend in self._known_backends
 
     def rank(self, backend: BackendId) -> int:
-        """Return a backend's place in the order in which this gateway chooses its peers.
+        """Return the rank by which this gateway chooses deduplication peers, the lowest first.
 
-        Each gateway has an order of its own, so that all backends are chosen by some.
+        Each gateway has its own order, so that every backend is chosen by some gateways.
         """
         return splitmix64(backend ^ splitmix64(self._index + 1))
 
@@ -260,52 +263,54 @@
         return EndpointListParser(self, Partition(self._gateways, self._index, partition_count))
 
     def adopt(self, parser: EndpointListParser, update: EndpointListUpdate) -> None:
-        """Take over an accepted list, and its partition for the lists that follow."""
+        """Record an accepted list, and use its partition for the lists that follow."""
         partition = parser.partition
         if update.kind is not UpdateKind.CHANGES:
-            self._held = {}
-            self._held_in_partition = 0
+            self._known_backends = {}
+            self._partition_backend_count = 0
             self.needs_repartitioning = False
         elif partition.partition_count != self._partition_count:
-            self._held = {backend: None for backend in self._held if partition.holds(backend)}
-            self._held_in_partition = len(self._held)
+            self._known_backends = {
+                backend: None for backend in self._known_backends if partition.contains(backend)
+            }
+            self._partition_backend_count = len(self._known_backends)
         self._partition_count = partition.partition_count
         for entry in update.entries:
-            was_held = entry.backend in self._held
+            was_known = entry.backend in self._known_backends
             is_present = entry.state is not EndpointStatus.GONE
-            if is_present and not was_held:
-                self._held[entry.backend] = None
-                self._held_in_partition += partition.holds(entry.backend)
-            elif was_held and not is_present:
-                del self._held[entry.backend]
-                self._held_in_partition -= partition.holds(entry.backend)
-        if partition.needs_repartitioning(self._held_in_partition):
+            if is_present and not was_known:
+                self._known_backends[entry.backend] = None
+                self._partition_backend_count += partition.contains(entry.backend)
+            elif was_known and not is_present:
+                del self._known_backends[entry.backend]
+                self._partition_backend_count -= partition.contains(entry.backend)
+        if partition.needs_repartitioning(self._partition_backend_count):
             self.needs_repartitioning = True
 
     def read(self, data: bytes, cached: bool = False) -> EndpointList:
-        """Read and adopt a list given as JSON; raise EndpointListError if it is none."""
+        """Read and adopt a list encoded as JSON; raise EndpointListError if it is invalid."""
         parser = self.new_parser()
-        decoder = IncrementalJson(parser)
+        decoder = IncrementalJsonDecoder(parser)
         decoder.feed(data)
         decoder.finish()
         endpoint_list = parser.result(cached)
         self.adopt(parser, endpoint_list.update)
         return endpoint_list
 
-    def listed_backend(
+    def parse_entry(
         self, backend: BackendId, status: EndpointStatus, raw: dict[str, Any]
     ) -> ListedBackend:
-        """Convert an entry; raise KeyError, TypeError, ValueError or the like if that can't be."""
+        """Convert an entry; raise KeyError, TypeError, ValueError or the like if it is invalid."""
         size = float(raw.get("capacity_hint", 1.0))
         boot_ms = float(raw.get("boot_ms", 0))
-        if not (0 <= size < MAX_SIZE and 0 <= boot_ms < MAX_BOOT_MS):
-            raise ValueError(f"a backend of size {size}, up since {boot_ms}")
-        # boot_ms is Unix time, and so is the scale of the gateway's clock: see ingress.Clock.
+        if not (0 <= size < MAX_BACKEND_SIZE and 0 <= boot_ms < MAX_BOOT_MS):
+            raise ValueError(f"capacity_hint {size} or boot_ms {boot_ms} out of range")
+        # boot_ms is Unix time, as is the gateway's clock: see sumacpost.clock.Clock.
         endpoint = Endpoint(
             backend,
             status,
-            self._zones.get(raw.get("az", ""), UNKNOWN_NAME),
-            self._machine_types.get(raw.get("model", ""), UNKNOWN_NAME),
+            self._zones.get(raw.get("az", ""), UNKNOWN_INDEX),
+            self._machine_types.get(raw.get("model", ""), UNKNOWN_INDEX),
             int(raw.get("pod_group", 0)),
             size,
             boot_ms,
--- a/sumacpost/pending_request.py
+++ b/sumacpost/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that the ingress owes a final response, with its client's side and its attempts."""
+"""A request that the ingress is proxying: its response channel to the client and its attempts."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 Headers = tuple[tuple[bytes, bytes], ...]
 
 
-class PendingResponse(Protocol):
-    """The client's side of a request."""
+class ResponseChannel(Protocol):
+    """Sends the final response of one request, and detects that its client has disconnected."""
 
-    received_at: float  # monotonic seconds: when the last byte of the request was read
+    received_at: float  # monotonic clock, seconds: when the last byte of the request was read
 
     def send(self, status: int, body: bytes = b"", headers: Headers = ()) -> None:
         """Send the final response."""
 
     def client_disconnected(self) -> bool:
-        """Return whether the client has gone, even if the loop has not learnt that yet."""
+        """Return whether the client has disconnected, even if the loop has not reported it yet."""
 
 
 @dataclass(slots=True, eq=False)
-class PendingRequest:
-    """A request that has no final response yet, or has attempts in flight."""
+class ProxiedRequest:
+    """A client's request that has no final response yet, or has attempts in flight."""
 
     number: int
     request: Request
-    response: PendingResponse
-    deadline: float  # in milliseconds, by the ingress's clock
+    response: ResponseChannel
+    deadline: float  # ms, by the ingress's clock
     attempts: list[Attempt] = field(default_factory=list)
     timer: Timer | None = None
 
-    def has_other_execution(self, attempt: Attempt) -> bool:
-        """Return whether another attempt has been written that may have run, or may yet."""
+    def other_attempt_may_have_run(self, attempt: Attempt) -> bool:
+        """Return whether a backend may have run, or may still run, another attempt."""
         return any(other is not attempt and other.may_have_run for other in self.attempts)
--- a/sumacpost/policy/gateway.py
+++ b/sumacpost/policy/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: one event in, actions out; the life of a request."""
+"""The gateway: turns each event into actions, from the arrival of a request to its conclusion."""
 
 from math import inf
 from random import Random
@@ -8,14 +8,14 @@
     Action,
     Actions,
     Cancel,
+    DenialReason,
     Fail,
-    Obstacle,
     Reject,
     Send,
     SendReason,
 )
 from sumacpost.model.settings import Settings
-from sumacpost.policy.attempt_rules import write_obstacle
+from sumacpost.policy.attempt_rules import write_denial_reason
 from sumacpost.policy.backend import Backend, InFlightAttempt
 from sumacpost.policy.endpoint_table import EndpointTable
 from sumacpost.policy.fleet_estimate import FleetEstimate
@@ -25,31 +25,33 @@
 from sumacpost.policy.quota_sync import Grant, QuotaSync
 from sumacpost.policy.retries import RetryPolicy
 
-BEYOND_QUOTA_FRACTION = 0.5  # of the admission threshold: what requests beyond their quota may meet
+# Admission threshold of requests beyond the quota, as a fraction of that of other requests.
+BEYOND_QUOTA_THRESHOLD_FRACTION = 0.5
+# Use of the plan's rate, by the meter, from which a customer is over its quota.
 METER_FULL_PERCENT = 100
 
 
 class Gateway:
-    """Decides for one gateway: hand it every event and carry out the actions it returns."""
+    """Makes all decisions of one gateway: pass it every event, and carry out its actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         random = Random(seed)
         self.settings = settings
-        self.pending: dict[int, PendingRequest] = {}  # by the request's number
+        self.pending: dict[int, PendingRequest] = {}  # by request number
         self.endpoints = EndpointTable(settings)
         self.estimate = FleetEstimate(settings)
         self.load_balancer = LoadBalancer(settings, random, self.endpoints, self.estimate)
         self.customers = CustomerTable(settings, random)
         self.quota_sync = QuotaSync(settings, random)
         self.retries = RetryPolicy(settings)
-        self._started_at = inf  # when the first event came
+        self._first_event_at = inf
         self._actions: Actions = []
 
     def handle(self, now: float, event: events.Event) -> Actions:
-        """Take in one event at a time in milliseconds; return actions, to be done in order."""
+        """Handle one event at the time `now`, in ms; return actions to be carried out in order."""
         self._actions = []
-        self._started_at = min(self._started_at, now)
-        self.load_balancer.slow_start.start(now)
+        self._first_event_at = min(self._first_event_at, now)
+        self.load_balancer.slow_start.record_event(now)
         match event:
             case events.AttemptEnded():
                 self._attempt_ended(now, event)
@@ -69,114 +71,116 @@
                 self._drain_started(now, event)
         return self._actions
 
-    def write_obstacle(self, now: float, number: int, attempt: int) -> Obstacle | None:
-        """Return why an attempt of a request that was sent may not be written now, if anything.
+    def write_denial_reason(self, now: float, number: int, attempt: int) -> DenialReason | None:
+        """Return why an attempt that was started may not be written now, or None if it may.
 
-        Where nothing is in the way, it is taken to be written: it counts from now on.
+        If it may, the caller has to write it at once: slow start counts its work from now on.
         """
         request = self.pending.get(number)
         if request is None:
-            return Obstacle.CONCLUDED
-        backend = request.tried[attempt]
+            return DenialReason.CONCLUDED
+        backend = request.attempted_backends[attempt]
         ready = self.endpoints.is_ready(backend)
-        obstacle = write_obstacle(now, request, attempt, ready, self.settings)
-        if obstacle is None:
-            self.load_balancer.slow_start.sent(now, backend, number, attempt, request.work)
-        return obstacle
+        reason = write_denial_reason(now, request, attempt, ready, self.settings)
+        if reason is None:
+            self.load_balancer.slow_start.record_send(
+                now, backend, number, attempt, request.work_ms
+            )
+        return reason
 
     def _deadline_reached(self, now: float, event: events.DeadlineReached) -> None:
-        """Conclude a request that still waits, as one that is held for the counter does."""
+        """Conclude a request that is still pending, such as one held for the counter's reply."""
         request = self.pending.get(event.request)
         if request is not None:
-            self._reject_or_fail(now, request, Obstacle.DEADLINE)
+            self._reject_or_fail(now, request, DenialReason.DEADLINE)
 
     def _drain_started(self, now: float, event: events.DrainStarted) -> None:
-        """Bring the deadlines of pending requests forward; a later one would never be met."""
+        """Bring forward the deadlines of pending requests; the process ends before later ones."""
         latest = now + event.respond_within_ms
         for request in self.pending.values():
             request.deadline = min(request.deadline, latest)
 
     def _request_arrived(self, now: float, event: events.RequestArrived) -> None:
-        """Let the bucket decide; ask the counter what it cannot tell; reject the rest."""
+        """Admit a request by the bucket or beyond the quota, ask the counter, or reject it."""
         settings = self.settings
-        customer = self.customers.find(now, event, self._started_at)
+        customer = self.customers.get_or_create(now, event, self._first_event_at)
         request_class = settings.classes[event.request_class]
-        work = self.estimate.work(event)
-        request = PendingRequest(event, request_class, customer, work, now)
+        work_ms = self.estimate.expected_work_ms(event)
+        request = PendingRequest(event, request_class, customer, work_ms, now)
         self.pending[event.request] = request
         if event.retry and settings.clients_mark_retries:
-            customer.return_queue.keep_appointment()
-        self.retries.earn()
+            customer.return_queue.record_return()
+        self.retries.deposit()
         plan = customer.plan
         bucket_size = plan.burst * customer.quota_share
-        below_ceiling = customer.below_ceiling(event.units)
+        below_ceiling = customer.ceiling_permits(event.units)
         keep_reserve = settings.clients_mark_retries and not event.retry
         if below_ceiling and customer.has_tokens(event.units, keep_reserve):
             self._admit(now, request, Grant.BUCKET)
             return
         customer.exhausted = True
         if not below_ceiling:
-            self._reject(now, request, Obstacle.CEILING)
+            self._reject(now, request, DenialReason.CEILING)
         elif plan.over_quota_weight > plan.over_quota_cost:
-            too_large = bucket_size < event.units
-            self._admit(now, request, Grant.BUCKET if too_large else Grant.BEYOND_QUOTA)
-        elif not self.quota_sync.probably_granted(now, customer):
-            self._reject(now, request, Obstacle.QUOTA)
-        elif self.quota_sync.may_ask(now, request):
+            exceeds_bucket = bucket_size < event.units
+            self._admit(now, request, Grant.BUCKET if exceeds_bucket else Grant.BEYOND_QUOTA)
+        elif not self.quota_sync.draw_admission(now, customer):
+            self._reject(now, request, DenialReason.QUOTA)
+        elif self.quota_sync.should_ask_counter(now, request):
             self._ask_counter(now, request)
         elif self.quota_sync.enabled or customer.tokens >= bucket_size:
-            # a full bucket does for a larger request, which would never pass otherwise
+            # A full bucket is enough for a larger request, which could never pass otherwise.
             self._admit(now, request, Grant.BUCKET)
         else:
-            self._reject(now, request, Obstacle.QUOTA)
+            self._reject(now, request, DenialReason.QUOTA)
 
     def _ask_counter(self, now: float, request: PendingRequest) -> None:
-        """Hold a request until the counter replies; no call for one that would be rejected."""
+        """Hold a request until the counter replies, unless overload would reject it anyway."""
         threshold = self.load_balancer.admission_threshold(request.event.request_class)
         if self.load_balancer.choose(now, request, threshold) is None:
-            self._reject(now, request, Obstacle.OVERLOAD)
+            self._reject(now, request, DenialReason.OVERLOAD)
             return
         request.customer.unreported_units += request.event.units
-        self._actions += self.quota_sync.settle(now, request.customer, request)
+        self._actions += self.quota_sync.report_usage(now, request.customer, request)
 
     def _counter_replied(self, now: float, event: events.CounterReplied) -> None:
-        """Send or reject the request held for a reply, then report what is left to report."""
+        """Send or reject the request held for a reply, then report remaining use to the counter."""
         call = self.quota_sync.apply_reply(now, event, self.pending)
         if call is None:
             return
         if call.request is not None and call.grant is not None:
             self._admit(now, call.request, call.grant)
         elif call.request is not None:
-            self._reject(now, call.request, Obstacle.QUOTA)
-        self._actions += self.quota_sync.settle_after_reply(now, call)
+            self._reject(now, call.request, DenialReason.QUOTA)
+        self._actions += self.quota_sync.report_after_reply(now, call)
 
     def _admit(self, now: float, request: PendingRequest, grant: Grant) -> None:
-        """Send what the quota lets pass, unless the fleet is overloaded."""
+        """Send a request that the quota permits, unless the fleet is overloaded."""
         customer = request.customer
         units = request.event.units
-        threshold = inf  # a request that was held for the counter has met its threshold before
+        threshold = inf  # requests held for the counter have passed their threshold before
         if grant in (Grant.BUCKET, Grant.BEYOND_QUOTA):
             threshold = self.load_balancer.admission_threshold(request.event.request_class)
             if grant is Grant.BEYOND_QUOTA:
-                threshold *= BEYOND_QUOTA_FRACTION
+                threshold *= BEYOND_QUOTA_THRESHOLD_FRACTION
         backend = self.load_balancer.choose(now, request, threshold)
         if backend is None:
             if grant is Grant.COUNTER:
                 customer.unreported_units -= units
-            self._reject(now, request, Obstacle.OVERLOAD)
+            self._reject(now, request, DenialReason.OVERLOAD)
             return
         if customer.plan.ceiling_rate:
             customer.ceiling_tokens -= units
-        if grant in (Grant.BUCKET, Grant.COUNTER_UNAWARE):
+        if grant in (Grant.BUCKET, Grant.COUNTER_NOT_APPLIED):
             customer.tokens -= units
             customer.unreported_units += units
-            self._actions += self.quota_sync.settle(now, customer)
+            self._actions += self.quota_sync.report_usage(now, customer)
         self._send(now, request, backend, SendReason.FIRST)
 
-    def _reject(self, now: float, request: PendingRequest, reason: Obstacle) -> None:
-        """Conclude a request with the time after which its client may come back."""
+    def _reject(self, now: float, request: PendingRequest, reason: DenialReason) -> None:
+        """Reject a request, with the time after which its client may retry."""
         no_show_ms = NO_SHOW_MS * self.settings.clients_mark_retries
-        wait_ms = request.customer.return_time(now, request.event.units, no_show_ms)
+        wait_ms = request.customer.schedule_return(now, request.event.units, no_show_ms)
         retry_after_ms = wait_ms * self.settings.retry_after
         self._conclude(request, Reject(request.event.request, retry_after_ms, reason))
 
@@ -187,27 +191,35 @@
     def _send(
         self, now: float, request: PendingRequest, backend: Backend, reason: SendReason
     ) -> None:
-        """Start an attempt and remember what it may do."""
+        """Start an attempt, record it and set its timer for hedging."""
         number = request.event.request
-        outstanding = self.load_balancer.outstanding(now, backend)
-        overdue_after_ms = self.estimate.overdue_after_ms(now, request.work, outstanding)
+        outstanding_requests = self.load_balancer.outstanding_requests(now, backend)
+        overdue_after_ms = self.estimate.overdue_after_ms(
+            now, request.work_ms, outstanding_requests
+        )
         attempt = InFlightAttempt(
-            now, request.work, outstanding, request.event.request_class, now + overdue_after_ms
+            now,
+            request.work_ms,
+            outstanding_requests,
+            request.event.request_class,
+            now + overdue_after_ms,
         )
-        attempt_number = len(request.tried)
-        request.tried.append(backend)
+        attempt_number = len(request.attempted_backends)
+        request.attempted_backends.append(backend)
         request.in_flight[attempt_number] = attempt
-        backend.begin(number, attempt_number, attempt)
-        self.load_balancer.slow_start.sent(now, backend, number, attempt_number, request.work)
-        self.estimate.observe_work(request.work)
+        backend.add_attempt(number, attempt_number, attempt)
+        self.load_balancer.slow_start.record_send(
+            now, backend, number, attempt_number, request.work_ms
+        )
+        self.estimate.observe_work(request.work_ms)
         self._actions.append(Send(number, backend.endpoint.backend, reason=reason))
         self._actions += self.retries.hedge_timer(now, request, overdue_after_ms)
 
     def _timer_fired(self, now: float, event: events.TimerFired) -> None:
-        """Send a hedged request elsewhere while an overdue attempt may still be answered.
+        """Send a hedged request to another backend while an overdue attempt is in flight.
 
-        Where the whole fleet is slow, that would add to the load: attempts are overdue later then,
-        and hedging is rationed and meets the admission threshold like a first attempt.
+        Hedging must not add to the load when the whole fleet is slow: attempts are overdue later
+        then, and hedged requests are limited by the retry budget and the admission threshold.
         """
         number, attempt_number = divmod(event.label, self.settings.max_attempts)
         request = self.pending.get(number)
@@ -224,16 +236,16 @@
             self._actions += self.retries.hedge_timer(now, request, overdue_after_ms)
 
     def _attempt_ended(self, now: float, event: events.AttemptEnded) -> None:
-        """Learn from the outcome, then conclude the request or retry it as its class allows."""
-        self._learn(now, event)
+        """Update the estimates, then conclude the request or retry it as its class permits."""
+        self._observe_attempt(now, event)
         request = self.pending.get(event.request)
         if request is None:
             return
-        if event.quota_used_percent is not None:  # a meter takes the counter's place
+        if event.quota_used_percent is not None:  # a meter replaces the counter
             request.customer.adjust_share(now, event.quota_used_percent >= METER_FULL_PERCENT)
         if event.outcome is events.Outcome.OK:
-            charged = request.event.units
-            request.customer.settle_units(event.actual_units or charged, charged)
+            charged_units = request.event.units
+            request.customer.settle_units(event.actual_units or charged_units, charged_units)
         request.in_flight.pop(event.attempt, None)
         if event.concluded:
             if request.in_flight and self.settings.cancel:
@@ -242,37 +254,37 @@
             return
         if not event.outcome.never_ran:
             request.record_possible_execution(event.attempt, now - event.elapsed_ms)
-        # else the hedged attempt sent last goes on
+        # If a later hedged attempt is in flight, the request waits for that one.
         if not request.in_flight or event.attempt == request.last_attempt:
             self._retry_or_conclude(now, request)
 
-    def _learn(self, now: float, event: events.AttemptEnded) -> None:
+    def _observe_attempt(self, now: float, event: events.AttemptEnded) -> None:
         backend = self.endpoints.backends.get(event.backend)
         if backend is not None:
-            attempt = backend.end(event.request, event.attempt)
+            attempt = backend.remove_attempt(event.request, event.attempt)
             self.estimate.apply_load_report(now, backend, event.report)
             if attempt is not None:
-                self.estimate.learn(now, backend, event, attempt)
+                self.estimate.observe_attempt(now, backend, event, attempt)
 
     def _retry_or_conclude(
         self, now: float, request: PendingRequest, threshold: float = inf
     ) -> None:
-        """Send another attempt if one is permitted; else conclude once none is in flight."""
-        obstacle = self.retries.retry_obstacle(now, request)
-        if obstacle is None:
+        """Send another attempt if one is permitted; otherwise conclude if none is in flight."""
+        reason = self.retries.retry_denial_reason(now, request)
+        if reason is None:
             backend = self.load_balancer.choose(now, request, threshold)
             if backend is not None:
                 self.retries.retry_tokens -= 1
-                reason = SendReason.HEDGE if request.in_flight else SendReason.RETRY
-                self._send(now, request, backend, reason)
+                send_reason = SendReason.HEDGE if request.in_flight else SendReason.RETRY
+                self._send(now, request, backend, send_reason)
                 return
-            obstacle = Obstacle.NO_BACKEND
+            reason = DenialReason.NO_BACKEND
         if request.in_flight:
-            return  # it may still be answered
-        self._reject_or_fail(now, request, obstacle)
+            return  # one of these attempts may still succeed
+        self._reject_or_fail(now, request, reason)
 
-    def _reject_or_fail(self, now: float, request: PendingRequest, reason: Obstacle) -> None:
-        """Conclude a request that is not served; its client may come back where that is safe."""
+    def _reject_or_fail(self, now: float, request: PendingRequest, reason: DenialReason) -> None:
+        """Conclude a request that is not served: reject it if a retry is safe, or fail it."""
         if self.retries.permits_rejection(request):
             self._reject(now, request, reason)
         else:
--- a/sumacpost/request_recorder.py
+++ b/sumacpost/request_recorder.py
@@ -1,23 +1,23 @@
-"""The events of a request's life, in the form in which the recorder keeps and logs them."""
+"""Records the lifecycle events of requests and attempts in the event recorder."""
 
 from __future__ import annotations
 
 from sumacpost.clock import Clock
 from sumacpost.diagnostics.event_recorder import EventKind, EventRecorder
-from sumacpost.model import Obstacle, Outcome, SendReason
-from sumacpost.pending_request import PendingRequest
+from sumacpost.model import DenialReason, Outcome, SendReason
+from sumacpost.pending_request import ProxiedRequest
 from sumacpost.upstream.attempt import Attempt
 
 
 class RequestRecorder:
-    """Records what becomes of requests; each method is one event."""
+    """Records the events of requests; each method records one kind of event."""
 
     def __init__(self, events: EventRecorder, clock: Clock) -> None:
         self._events = events
         self._clock = clock
 
-    def accepted(self, pending: PendingRequest, draining: bool) -> None:
-        """The ingress has taken a request, and owes it a response."""
+    def record_accepted(self, pending: ProxiedRequest, draining: bool) -> None:
+        """Record that the ingress has accepted a request, and owes it a response."""
         self._events.record(
             EventKind.REQUEST_ACCEPTED,
             "draining" if draining else "serving",
@@ -28,8 +28,8 @@
             self._time_left_ms(pending),
         )
 
-    def pending_in_drain(self, pending: PendingRequest) -> None:
-        """A drain has started while a request is pending."""
+    def record_pending_in_drain(self, pending: ProxiedRequest) -> None:
+        """Record that a request was pending when a drain started."""
         self._events.record(
             EventKind.DRAIN_PHASE,
             "request_pending",
@@ -40,8 +40,8 @@
             len(pending.attempts),
         )
 
-    def cancelled(self, pending: PendingRequest) -> None:
-        """The client has left."""
+    def record_cancelled(self, pending: ProxiedRequest) -> None:
+        """Record that the client of a request has disconnected."""
         self._events.record(
             EventKind.REQUEST_CANCELLED,
             "client_left",
@@ -50,8 +50,8 @@
             len(pending.attempts),
         )
 
-    def concluded(self, pending: PendingRequest, status: int, reason: str) -> None:
-        """The final response has been handed to the client's connection."""
+    def record_concluded(self, pending: ProxiedRequest, status: int, reason: str) -> None:
+        """Record that the final response is being passed to the client's connection."""
         self._events.record(
             EventKind.REQUEST_CONCLUDED,
             reason,
@@ -62,10 +62,10 @@
             len(pending.attempts),
         )
 
-    def attempt_started(
-        self, pending: PendingRequest, attempt: Attempt, reason: SendReason
+    def record_attempt_started(
+        self, pending: ProxiedRequest, attempt: Attempt, reason: SendReason
     ) -> None:
-        """An attempt has begun to look for a connection."""
+        """Record that an attempt has been started and needs a connection."""
         self._events.record(
             EventKind.ATTEMPT_STARTED,
             reason.value,
@@ -76,23 +76,23 @@
             self._time_left_ms(pending),
         )
 
-    def attempt_skipped(
-        self, pending: PendingRequest, attempt: Attempt, obstacle: Obstacle
+    def record_attempt_skipped(
+        self, pending: ProxiedRequest, attempt: Attempt, reason: DenialReason
     ) -> None:
-        """An attempt was not written, as something has changed since it was chosen."""
+        """Record that an attempt was not written, because conditions changed after the decision."""
         self._events.record(
             EventKind.ATTEMPT_SKIPPED,
-            obstacle.value,
+            reason.value,
             pending.request.id,
             "attempt=%d backend=%x",
             attempt.index,
             attempt.backend,
         )
 
-    def attempt_ended(
-        self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, elapsed_ms: float
+    def record_attempt_ended(
+        self, pending: ProxiedRequest, attempt: Attempt, outcome: Outcome, elapsed_ms: float
     ) -> None:
-        """An attempt has its outcome."""
+        """Record that an attempt has ended with an outcome."""
         self._events.record(
             EventKind.ATTEMPT_ENDED,
             outcome.name.lower(),
@@ -103,5 +103,5 @@
             elapsed_ms,
         )
 
-    def _time_left_ms(self, pending: PendingRequest) -> float:
+    def _time_left_ms(self, pending: ProxiedRequest) -> float:
         return pending.deadline - self._clock.now()
--- a/sumacpost/settings_text.py
+++ b/sumacpost/settings_text.py
@@ -1,7 +1,7 @@
-"""The settings of a gateway as text: one `path=value` pair a line.
+"""Parses the settings of a gateway from text with one `path=value` pair per line.
 
-A list of plain values is joined by commas. A list of objects has its length at `path.count`, and
-the fields of its items at `path.0`, `path.1` and so on.
+The items of a list of scalars are joined by commas. A list of objects has its length at
+`path.count`, and the fields of its items at `path.0`, `path.1` and so on.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
     "side_effect": Idempotency.NOT_IDEMPOTENT,
 }
 
-# The keys of those fields that the model itself checks.
-_CLASS_KEYS = {
+# The keys of the fields that the model validates, by field name; without those of the same name.
+_CLASS_KEY_BY_FIELD = {
     "latency_objective_ms": "aim",
     "deadline_ms": "hard_limit",
     "priority_weight": "points",
     "deduplication_window_ms": "dedup_window",
     "late_priority_weight": "late_worth",
 }
-_PLAN_KEYS = {
+_PLAN_KEY_BY_FIELD = {
     "rate": "per_second",
     "burst": "peak_units",
     "open_limit": "at_once",
@@ -37,22 +37,25 @@
     "ceiling_slack": "tolerance",
 }
 
-MAX_QUOTED_LINE = 40  # characters of a malformed line that an error repeats
+MAX_QUOTED_LINE = 40  # characters of a malformed line that are quoted in an error
 
 
 class _SettingsReader:
-    """Typed look-ups below one path; CodecError names a value that is missing or malformed."""
+    """Typed access to the values below one path.
+
+    Its methods raise CodecError, with the path, for a value that is missing or malformed.
+    """
 
     def __init__(self, values: Mapping[str, str], prefix: str = "") -> None:
         self._values = values
         self._prefix = prefix
 
     def path(self, key: str) -> str:
-        """Return the whole path of a key."""
+        """Return the full path of a key."""
         return self._prefix + key
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Return a value as it stands; a key without default is required."""
+        """Return a value as text; a key without a default is required."""
         value = self._values.get(self.path(key), default)
         if value is None:
             raise CodecError(f"settings: {self.path(key)} is missing")
@@ -67,28 +70,28 @@
             raise CodecError(f"settings: {self.path(key)}: {text!r} is not a number") from None
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Return a value as a whole number."""
+        """Return a value as an integer."""
         value = self.number(key, default)
         if not value.is_integer():
             raise CodecError(f"settings: {self.path(key)}: {value!r} is not a whole number")
         return int(value)
 
     def boolean(self, key: str) -> bool:
-        """Return a value as true or false; false if it is absent."""
+        """Return a value as a boolean; False if it is absent."""
         text = self.text(key, "false")
         if text not in ("true", "false"):
             raise CodecError(f"settings: {self.path(key)}: {text!r} is neither true nor false")
         return text == "true"
 
     def idempotency(self, key: str) -> Idempotency:
-        """Return a required value as a kind of idempotency."""
+        """Return a required value as an Idempotency."""
         text = self.text(key)
         if text not in _IDEMPOTENCY:
             raise CodecError(f"settings: {self.path(key)}: {text!r} is unknown")
         return _IDEMPOTENCY[text]
 
     def deduplication_scope(self, key: str) -> DeduplicationScope:
-        """Return a value as a scope of deduplication; all backends if it is absent."""
+        """Return a value as a DeduplicationScope; ALL if it is absent."""
         text = self.text(key, "all")
         try:
             return DeduplicationScope(text)
@@ -101,8 +104,8 @@
         return [_SettingsReader(self._values, self.path(f"{key}.{i}.")) for i in range(count)]
 
     @contextmanager
-    def naming_keys(self, keys: Mapping[str, str]) -> Iterator[None]:
-        """Turn a SettingsError into a CodecError that names the key, as the operators wrote it."""
+    def translating_errors(self, keys: Mapping[str, str]) -> Iterator[None]:
+        """Convert a SettingsError to a CodecError that names the key in the text, not the field."""
         try:
             yield
         except SettingsError as error:
@@ -122,7 +125,7 @@
 
 def _parse_class(reader: _SettingsReader) -> RequestClass:
     idempotency = reader.idempotency("idempotency")
-    with reader.naming_keys(_CLASS_KEYS):
+    with reader.translating_errors(_CLASS_KEY_BY_FIELD):
         return RequestClass(
             latency_objective_ms=reader.number("aim"),
             deadline_ms=reader.number("hard_limit"),
@@ -136,7 +139,7 @@
 
 
 def _parse_plan(reader: _SettingsReader) -> Plan:
-    with reader.naming_keys(_PLAN_KEYS):
+    with reader.translating_errors(_PLAN_KEY_BY_FIELD):
         return Plan(
             rate=reader.number("per_second"),
             burst=reader.number("peak_units"),
@@ -152,7 +155,7 @@
 
 
 def _parse_report_fields(reader: _SettingsReader) -> tuple[str, ...]:
-    """Return the fields of a load report; none where backends send no reports."""
+    """Return the field names of a load report; empty if backends send no reports."""
     if reader.text("telemetry.via", "off") == "off":
         return ()
     fields = reader.text("telemetry.fields", "")
@@ -162,7 +165,7 @@
 def parse_settings(text: str) -> Settings:
     """Return the settings in a text; unknown keys are ignored.
 
-    Raise CodecError, or the model's SettingsError, naming the first value that can't be used.
+    Raise CodecError, or the model's SettingsError; either names the first invalid value.
     """
     reader = _SettingsReader(_split_lines(text))
     classes = [_parse_class(item) for item in reader.items("categories")]
--- a/sumacpost/simulator/codec.py
+++ b/sumacpost/simulator/codec.py
@@ -1,7 +1,7 @@
 """Conversion between the simulator's records and the typed messages of the gateway.
 
-`read_event` and `read_provision` take the fields of a record, without its header, and raise
-CodecError if they are malformed. `write_action` returns a whole record.
+`read_event` and `read_provision` read the fields of a record, without its header, and raise
+CodecError if they are malformed. `write_action` returns a complete record with its header.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 from sumacpost.simulator import records
 from sumacpost.simulator.records import ActionCode, EventCode
 
-Member = TypeVar("Member", bound=IntEnum)
+EnumMember = TypeVar("EnumMember", bound=IntEnum)
 
 PORT_BITS = 16
 PORT_MASK = 0xFFFF
@@ -61,7 +61,7 @@
 
 
 def _unpack_fixed(layout: Struct, fields: bytes, record: str) -> tuple[Any, ...]:
-    """Unpack a record without variable part; CodecError unless its length fits."""
+    """Unpack a record without a variable part; raise CodecError if its length is wrong."""
     if len(fields) != layout.size:
         raise CodecError(f"{record}: {len(fields)} bytes of fields, {layout.size} expected")
     return layout.unpack(fields)
@@ -70,7 +70,10 @@
 def _unpack_counted(
     layout: Struct, fields: bytes, item_size: int, record: str
 ) -> tuple[tuple[Any, ...], bytes]:
-    """Unpack a record whose last fixed field counts the items behind it; return both parts."""
+    """Unpack a record whose last fixed field is the number of items after the fixed fields.
+
+    Return the fixed fields and the bytes of the items; raise CodecError if the length is wrong.
+    """
     if len(fields) < layout.size:
         raise CodecError(
             f"{record}: {len(fields)} bytes of fields, at least {layout.size} expected"
@@ -80,31 +83,31 @@
     count = fixed[-1]
     if len(items) != count * item_size:
         raise CodecError(
-            f"{record}: {len(items)} bytes follow, {count} items of {item_size} bytes announced"
+            f"{record}: {len(items)} bytes follow, {count} items of {item_size} bytes expected"
         )
     return fixed, items
 
 
-def _number(value: float, field: str, minimum: float = 0.0) -> float:
-    """Return the value; CodecError unless it is finite and not below the minimum."""
+def _checked_number(value: float, field: str, minimum: float = 0.0) -> float:
+    """Return the value; raise CodecError if it is not finite or is below the minimum."""
     if not (math.isfinite(value) and value >= minimum):
         raise CodecError(f"{field}: {value!r} is not a finite number of at least {minimum:g}")
     return value
 
 
-def _member(kind: type[Member], value: int, field: str) -> Member:
-    """Return the member of an enumeration that has this value."""
+def _enum_member(kind: type[EnumMember], value: int, field: str) -> EnumMember:
+    """Return the enum member with this value; raise CodecError if there is none."""
     try:
         return kind(value)
     except ValueError:
-        raise CodecError(f"{field}: {value!r} is unknown") from None
+        raise CodecError(f"{field}: unknown value {value!r}") from None
 
 
-def _report(data: bytes, field: str) -> tuple[float, ...]:
-    """Return the values of a load report."""
+def _report_values(data: bytes, field: str) -> tuple[float, ...]:
+    """Return the values of a load report; raise CodecError if one is not finite."""
     values: tuple[float, ...] = struct.unpack(f"<{len(data) // records.REPORT_VALUE_SIZE}f", data)
     for value in values:
-        _number(value, field, -math.inf)
+        _checked_number(value, field, -math.inf)
     return values
 
 
@@ -121,15 +124,15 @@
         entries.append(
             Endpoint(
                 _backend_id(address, port),
-                _member(EndpointStatus, status, "VIEW availability"),
+                _enum_member(EndpointStatus, status, "VIEW availability"),
                 zone,
                 kind,
                 cell,
-                _number(size, "VIEW size"),
-                _number(up_since, "VIEW up_since"),
+                _checked_number(size, "VIEW size"),
+                _checked_number(up_since, "VIEW up_since"),
             )
         )
-    return EndpointListUpdate(_member(UpdateKind, form, "VIEW form"), entries, serial)
+    return EndpointListUpdate(_enum_member(UpdateKind, form, "VIEW form"), entries, serial)
 
 
 def _read_accept(fields: bytes) -> RequestArrived:
@@ -141,10 +144,10 @@
         customer=customer,
         plan=plan,
         request_class=request_class,
-        units=_number(units, "ACCEPT price_units"),
-        first_gateway=int(_number(first, "ACCEPT set_from")),
-        gateway_spread=int(_number(width, "ACCEPT width", 1)),
-        time_left_ms=_number(time_left, "ACCEPT time_left"),
+        units=_checked_number(units, "ACCEPT price_units"),
+        first_gateway=int(_checked_number(first, "ACCEPT set_from")),
+        gateway_spread=int(_checked_number(width, "ACCEPT width", 1)),
+        time_left_ms=_checked_number(time_left, "ACCEPT time_left"),
         retry=bool(bits & records.RETRY_BIT),
     )
 
@@ -152,7 +155,7 @@
 def _read_begun(fields: bytes) -> ResponseStarted:
     _, request, attempt, address, port, spent = _unpack_fixed(records.BEGUN, fields, "BEGUN")
     return ResponseStarted(
-        request, attempt, _backend_id(address, port), _number(spent, "BEGUN spent")
+        request, attempt, _backend_id(address, port), _checked_number(spent, "BEGUN spent")
     )
 
 
@@ -165,13 +168,13 @@
         request=request,
         attempt=attempt,
         backend=_backend_id(address, port),
-        outcome=_member(Outcome, verdict, "COMPLETED verdict"),
-        elapsed_ms=_number(spent, "COMPLETED spent"),
+        outcome=_enum_member(Outcome, verdict, "COMPLETED verdict"),
+        elapsed_ms=_checked_number(spent, "COMPLETED spent"),
         concluded=bool(over),
-        # The wire has the percentage plus 1, as 0 stands for an absent one.
+        # The record contains the percentage plus 1; 0 means that there is no percentage.
         quota_used_percent=used - 1.0 if used else None,
         actual_units=float(units),
-        report=_report(items, "COMPLETED telemetry"),
+        report=_report_values(items, "COMPLETED telemetry"),
     )
 
 
@@ -192,9 +195,9 @@
     _, address, port, verdict, spent, _ = fixed
     return HealthCheckEnded(
         _backend_id(address, port),
-        _member(Outcome, verdict, "STATUS_BACK verdict"),
-        _number(spent, "STATUS_BACK spent"),
-        _report(items, "STATUS_BACK telemetry"),
+        _enum_member(Outcome, verdict, "STATUS_BACK verdict"),
+        _checked_number(spent, "STATUS_BACK spent"),
+        _report_values(items, "STATUS_BACK telemetry"),
     )
 
 
@@ -206,10 +209,10 @@
 
 def _read_ledger_reply(fields: bytes) -> CounterReplied:
     _, name, verdict, spent, reading = _unpack_fixed(records.LEDGER_REPLY, fields, "LEDGER_REPLY")
-    outcome = _member(Outcome, verdict, "LEDGER_REPLY verdict")
+    outcome = _enum_member(Outcome, verdict, "LEDGER_REPLY verdict")
     if outcome is Outcome.OK:
-        _number(reading, "LEDGER_REPLY reading", -math.inf)
-    return CounterReplied(name, outcome, _number(spent, "LEDGER_REPLY spent"), reading)
+        _checked_number(reading, "LEDGER_REPLY reading", -math.inf)
+    return CounterReplied(name, outcome, _checked_number(spent, "LEDGER_REPLY spent"), reading)
 
 
 _READERS: dict[int, Callable[[bytes], Event]] = {
@@ -226,9 +229,10 @@
 
 
 def read_event(code: int, fields: bytes, settings: Settings) -> Event:
-    """Return the event in a record that is neither the start nor the stop of an instance.
+    """Return the event in a record other than PROVISION and DOWN.
 
-    Raise CodecError if the record is malformed or names a class or plan that the settings lack.
+    Raise CodecError if the record is malformed or refers to a class or plan that the settings do
+    not have.
     """
     reader = _READERS.get(code)
     if reader is None:
@@ -246,7 +250,7 @@
 
 
 def read_provision(fields: bytes) -> tuple[int, Settings]:
-    """Return the seed and the settings of an instance that starts."""
+    """Return the seed and the settings in a PROVISION record, which starts an instance."""
     fixed, text = _unpack_counted(records.PROVISION, fields, 1, "PROVISION")
     _, seed, _ = fixed
     try:
@@ -259,7 +263,7 @@
 
 
 def _fixed_packer(code: ActionCode, fields: str) -> Callable[..., bytes]:
-    """Return a function that packs these fields behind the header of their record."""
+    """Return a function that packs a record of these fields, with its header."""
     layout = Struct(records.RECORD_HEADER.format + fields)
     return partial(layout.pack, int(code), layout.size - records.RECORD_HEADER.size)
 
@@ -315,7 +319,7 @@
 
 
 def _pack_counted(layout: Struct, code: ActionCode, size: int, *fields: int) -> bytes:
-    """Pack the fixed part of a record that ends with so many bytes."""
+    """Pack the fixed part of a record whose variable part has `size` bytes."""
     length = layout.size - records.RECORD_HEADER.size + size
     return layout.pack(code, length, *fields, size)
 
@@ -334,5 +338,5 @@
 
 
 def write_action(instance: int, action: Action) -> bytes:
-    """Return one action of an instance as a record."""
+    """Encode an action of an instance as a record."""
     return _WRITERS[type(action)](instance, action)
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Lists of any length and shape: what is held stays bounded; an invalid list changes nothing."""
+"""Endpoint lists of any size and form: memory stays bounded, invalid lists change nothing."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 from sumacpost.config import load_config
 from sumacpost.discovery import endpoint_list
-from sumacpost.discovery.deduplication_peers import DEDUPLICATION_PEERS
+from sumacpost.discovery.deduplication_peers import DEDUPLICATION_PEERS_PER_CELL
 from sumacpost.discovery.endpoint_list import EndpointListReader, backend_id
-from sumacpost.discovery.incremental_json import IncrementalJson
+from sumacpost.discovery.incremental_json import IncrementalJsonDecoder
 from sumacpost.errors import EndpointListError
 from sumacpost.model import Endpoint, EndpointListUpdate, Outcome, Send, UpdateKind
 from sumacpost.policy.gateway import Gateway
@@ -23,22 +23,28 @@
     encode,
     full_list,
     numbered_entry,
-    pieces_of,
     read_pieces,
+    split_into_pieces,
+)
+from tests.support.builders import (
+    KEYED_CELL_CLASS,
+    START_MS,
+    attempt_ended,
+    request_arrived,
+    settings,
 )
-from tests.support.builders import KEYED, START, ended, request, settings
 from tests.support.configuration import SETTINGS
 
 
 @pytest.fixture
 def reader() -> EndpointListReader:
-    """The reader of the only gateway."""
+    """Return the reader of the only gateway."""
     return EndpointListReader((), ())
 
 
 @pytest.mark.parametrize("size", [1, 7, 500, 100_000])
 @pytest.mark.parametrize("indent", [None, 4])
-def test_a_list_reads_the_same_in_pieces_of_any_size(size: int, indent: int | None) -> None:
+def test_result_does_not_depend_on_the_size_of_the_pieces(size: int, indent: int | None) -> None:
     raw = full_list(20)
     reordered = {key: raw[key] for key in ("targets", "all", "rev")}
     reordered["more"] = [{"uid": [1, {}]}, None]
@@ -46,60 +52,67 @@
     expected = EndpointListReader((), ()).read(encode(raw))
     assert len(expected.update.entries) == len(expected.addresses) == 20
     for form in (raw, reordered):
-        pieces = pieces_of(encode(form, indent), size)
+        pieces = split_into_pieces(encode(form, indent), size)
         assert read_pieces(EndpointListReader((), ()), pieces) == expected
 
 
-def test_only_the_gateways_partition_of_a_long_list_is_held_at_any_time() -> None:
+def test_only_the_partition_of_the_gateway_is_stored_at_any_time() -> None:
     reader = EndpointListReader((), (), GATEWAYS, 77)
     parser = reader.new_parser()
-    decoder = IncrementalJson(parser)
-    most_held = 0
-    for piece in pieces_of(encode(full_list(20_000)), 8192):
+    decoder = IncrementalJsonDecoder(parser)
+    most_stored = 0
+    for piece in split_into_pieces(encode(full_list(20_000)), 8192):
         decoder.feed(piece)
-        most_held = max(most_held, parser.held_count)
+        most_stored = max(most_stored, parser.stored_count)
     decoder.finish()
     update, addresses = parser.result()
     reader.adopt(parser, update)
-    assert most_held <= 1.1 * MAX_PARTITION_BACKENDS  # partitions differ a little in size
+    assert most_stored <= 1.1 * MAX_PARTITION_BACKENDS  # partitions differ a little in size
     assert update.partition_count == 32
     assert {entry.backend for entry in update.entries} == set(addresses)
-    assert all(parser.partition.holds(entry.backend) for entry in update.entries)
+    assert all(parser.partition.contains(entry.backend) for entry in update.entries)
 
-    # Of the changes that follow, only those to the partition are held either.
+    # The same applies to the changes that follow.
     changed = reader.read(encode(changes(42, range(20_000, 20_640), "leaving"))).update
     assert changed.partition_count == 32
     assert 3 <= len(changed.entries) <= 60
     assert not reader.needs_repartitioning
 
 
-def test_the_partitions_of_all_gateways_together_hold_the_whole_list() -> None:
-    held = [
+def test_partitions_of_all_gateways_cover_the_whole_list() -> None:
+    addresses = [
         EndpointListReader((), (), GATEWAYS, index).read(encode(full_list(2000))).addresses
         for index in (0, 1)
     ]
-    assert {*held[0], *held[1]} == {backend_id(f"s-{number:08x}") for number in range(2000)}
+    assert {*addresses[0], *addresses[1]} == {
+        backend_id(f"s-{number:08x}") for number in range(2000)
+    }
+
 
+def test_deduplication_peers_are_stored_and_updated_for_each_cell_of_the_partition() -> None:
+    """Retries of keyed requests need deduplication peers.
 
-def test_deduplication_peers_are_held_and_followed_for_each_cell_of_the_partition() -> None:
-    """Of the thirty backends of a cell the partition has one at most: keyed retries need others."""
+    A partition contains at most one of the thirty backends of a cell.
+    """
     reader = EndpointListReader((), (), GATEWAYS, 77, has_cell_scope=True)
     update = reader.read(encode(full_list(33_000))).update
     partition = reader.new_parser().partition
-    inside = [entry for entry in update.entries if partition.holds(entry.backend)]
-    peers = [entry for entry in update.entries if not partition.holds(entry.backend)]
+    inside = [entry for entry in update.entries if partition.contains(entry.backend)]
+    peers = [entry for entry in update.entries if not partition.contains(entry.backend)]
     assert update.partition_count == 64
     assert len(inside) <= MAX_PARTITION_BACKENDS
-    assert len(peers) <= DEDUPLICATION_PEERS * len(inside)
+    assert len(peers) <= DEDUPLICATION_PEERS_PER_CELL * len(inside)
     peers_by_cell = Counter(entry.cell for entry in peers)
-    assert peers_by_cell == dict.fromkeys({entry.cell for entry in inside}, DEDUPLICATION_PEERS)
+    assert peers_by_cell == dict.fromkeys(
+        {entry.cell for entry in inside}, DEDUPLICATION_PEERS_PER_CELL
+    )
 
     other_reader = EndpointListReader((), (), GATEWAYS, 77 + 64, has_cell_scope=True)
     other = other_reader.read(encode(full_list(33_000))).update
     shared = {entry.backend for entry in peers} & {entry.backend for entry in other.entries}
     assert len(shared) < len(peers) / 4  # gateways of one partition choose different peers
 
-    # The peers' drains are taken in, and a full list keeps to them.
+    # Drains of the peers are applied, and a full list keeps the same peers.
     drains = reader.read(encode(changes(42, range(33_000), "leaving"))).update
     listed = {entry.backend for entry in update.entries}
     assert listed <= {entry.backend for entry in drains.entries}
@@ -108,27 +121,29 @@
     assert not reader.needs_repartitioning
 
 
-def test_deduplication_peers_are_used_for_retries_alone() -> None:
-    gateway = Gateway(settings(gateways=GATEWAYS, index=0, classes=(KEYED,)), 7)
+def test_deduplication_peers_are_used_only_for_retries() -> None:
+    gateway = Gateway(settings(gateways=GATEWAYS, index=0, classes=(KEYED_CELL_CLASS,)), 7)
     partition = Partition(GATEWAYS, 0, 64)
-    inside = [n for n in range(1, 5000) if partition.holds(n)][:40]
-    peers = [n for n in range(1, 5000) if not partition.holds(n)][:80]
+    inside = [n for n in range(1, 5000) if partition.contains(n)][:40]
+    peers = [n for n in range(1, 5000) if not partition.contains(n)][:80]
     entries = [Endpoint(n, cell=position % 40) for position, n in enumerate([*inside, *peers])]
-    gateway.handle(START, EndpointListUpdate(UpdateKind.FULL, entries, partition_count=64))
+    gateway.handle(START_MS, EndpointListUpdate(UpdateKind.FULL, entries, partition_count=64))
     assert {ready.backend for ready in gateway.endpoints.subset.ready} == set(inside)
-    actions = gateway.handle(START, request(1))
+    actions = gateway.handle(START_MS, request_arrived(1))
     (send,) = [action for action in actions if isinstance(action, Send)]
-    actions = gateway.handle(START + 50, ended(1, send.backend, Outcome.RESET, elapsed_ms=50))
+    actions = gateway.handle(
+        START_MS + 50, attempt_ended(1, send.backend, Outcome.RESET, elapsed_ms=50)
+    )
     retries = [action for action in actions if isinstance(action, Send)]
     assert send.backend in inside
     assert retries[0].backend in peers
 
 
-def test_a_fleet_that_outgrew_its_partitions_or_shrank_below_them_is_repartitioned() -> None:
+def test_fleet_that_is_too_large_or_too_small_for_its_partitions_is_repartitioned() -> None:
     reader = EndpointListReader((), (), GATEWAYS, 5)
     reader.read(encode(full_list(1000)))
     reader.read(encode(changes(42, range(1000, 1100))))
-    assert not reader.needs_repartitioning  # one or two hundred more do no harm
+    assert not reader.needs_repartitioning  # one or two hundred more are tolerated
     reader.read(encode(full_list(30_000)))
     assert not reader.needs_repartitioning
     assert reader.read(encode(full_list(4000))).update.partition_count == 32
@@ -140,7 +155,7 @@
     assert reader.needs_repartitioning
 
 
-ENDLESS_LISTS: dict[str, tuple[bytes, bytes]] = {  # how each begins and goes on
+ENDLESS_LISTS: dict[str, tuple[bytes, bytes]] = {  # beginning and repeated continuation
     "space": (b'{"rev":1,', b" " * 8192),
     "a text": (b'{"rev":"', b"x" * 8192),
     "depth": (b"", b"[" * 8192),
@@ -149,12 +164,12 @@
 
 
 @pytest.mark.parametrize("form", ENDLESS_LISTS)
-def test_an_endless_list_is_rejected_after_a_bounded_number_of_pieces(
+def test_endless_list_is_rejected_after_a_limited_number_of_pieces(
     form: str, monkeypatch: pytest.MonkeyPatch, reader: EndpointListReader
 ) -> None:
     monkeypatch.setattr(endpoint_list, "MAX_ENTRIES", 500)
     beginning, continuation = ENDLESS_LISTS[form]
-    decoder = IncrementalJson(reader.new_parser())
+    decoder = IncrementalJsonDecoder(reader.new_parser())
     fed = 0
 
     def feed_all() -> None:
@@ -171,7 +186,7 @@
     assert "\n" not in str(raised.value)
 
 
-def test_too_many_entries_are_rejected_in_a_message_of_their_own(
+def test_too_many_entries_are_rejected_with_a_specific_message(
     monkeypatch: pytest.MonkeyPatch, reader: EndpointListReader
 ) -> None:
     monkeypatch.setattr(endpoint_list, "MAX_ENTRIES", 500)
@@ -195,17 +210,17 @@
         json.dumps(full_list(3)).replace('"rev": 41', '"rev": NaN').encode(),
     ],
 )
-def test_an_invalid_list_leaves_the_last_one_in_place(
+def test_invalid_list_leaves_the_last_one_in_effect(
     invalid: bytes, reader: EndpointListReader
 ) -> None:
     last = reader.read(encode(full_list(3))).update
     with pytest.raises(EndpointListError):
-        read_pieces(reader, pieces_of(invalid, 4096))
-    assert len(reader._held) == 3 == len(last.entries)
+        read_pieces(reader, split_into_pieces(invalid, 4096))
+    assert len(reader._known_backends) == 3 == len(last.entries)
 
 
-def test_the_long_list_of_a_configuration_is_held_in_part(tmp_path: Path) -> None:
-    """The list stands ahead of the settings, which tell the partition of this gateway."""
+def test_only_the_partition_of_a_cached_list_in_the_configuration_is_stored(tmp_path: Path) -> None:
+    """The list precedes the settings, which determine the partition of this gateway."""
     path = tmp_path / "config.json"
     configuration = {
         "name": "n3",
@@ -222,7 +237,7 @@
     assert 500 <= len(update.entries) == len(config.initial_addresses) <= 750
 
 
-def test_a_configuration_without_a_list_has_no_endpoints(tmp_path: Path) -> None:
+def test_configuration_without_a_list_has_no_endpoints(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     configuration = {
         "listen": "127.0.0.1:0",
--- a/tests/policy/test_connection_rules.py
+++ b/tests/policy/test_connection_rules.py
@@ -1,35 +1,35 @@
-"""Whether a client's connection may be closed, and which response is its last."""
+"""Whether a client connection may be closed, and which response is its last."""
 
 from __future__ import annotations
 
 import pytest
 
 from sumacpost.policy.connection_rules import (
-    CloseObstacle,
-    ConnectionFacts,
-    close_obstacle,
+    ConnectionSnapshot,
+    NotClosedReason,
     is_last_response,
+    not_closed_reason,
 )
 
 
 @pytest.mark.parametrize(
-    ("facts", "obstacle"),
+    ("snapshot", "reason"),
     [
-        (ConnectionFacts(0, 0, False, False), None),
-        (ConnectionFacts(1, 5, True, True), CloseObstacle.RESPONSE_OWED),
-        (ConnectionFacts(0, 5, True, True), CloseObstacle.REQUEST_READ),
-        (ConnectionFacts(0, 0, True, True), CloseObstacle.REQUEST_INCOMPLETE),
-        (ConnectionFacts(0, 0, False, True), CloseObstacle.REQUEST_UNREAD),
+        (ConnectionSnapshot(0, 0, False, False), None),
+        (ConnectionSnapshot(1, 5, True, True), NotClosedReason.RESPONSE_OWED),
+        (ConnectionSnapshot(0, 5, True, True), NotClosedReason.REQUEST_READ),
+        (ConnectionSnapshot(0, 0, True, True), NotClosedReason.REQUEST_INCOMPLETE),
+        (ConnectionSnapshot(0, 0, False, True), NotClosedReason.REQUEST_UNREAD),
     ],
 )
-def test_a_connection_is_closed_only_at_rest(
-    facts: ConnectionFacts, obstacle: CloseObstacle | None
+def test_a_connection_is_closed_only_without_received_or_unanswered_requests(
+    snapshot: ConnectionSnapshot, reason: NotClosedReason | None
 ) -> None:
-    assert close_obstacle(facts) is obstacle
+    assert not_closed_reason(snapshot) is reason
 
 
 @pytest.mark.parametrize(
-    ("keep_alive", "draining", "more_requests", "last"),
+    ("keep_alive", "draining", "has_pending_requests", "last"),
     [
         (True, False, False, False),
         (False, False, False, True),
@@ -37,7 +37,7 @@
         (True, True, True, False),
     ],
 )
-def test_the_last_response_is_the_clients_choice_or_the_last_of_a_drain(
-    keep_alive: bool, draining: bool, more_requests: bool, last: bool
+def test_the_last_response_is_one_without_keep_alive_or_the_last_of_a_drain(
+    keep_alive: bool, draining: bool, has_pending_requests: bool, last: bool
 ) -> None:
-    assert is_last_response(keep_alive, draining, more_requests) is last
+    assert is_last_response(keep_alive, draining, has_pending_requests) is last
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsets are even, few of their pairs change with a backend, and they stay within a partition."""
+"""Subsets are even and within a partition, and few pairs change when a backend does."""
 
 from __future__ import annotations
 
@@ -17,7 +17,15 @@
     Subset,
     splitmix64,
 )
-from tests.support.builders import KEYED, SAFE, START, ended, fleet, gateway, request
+from tests.support.builders import (
+    IDEMPOTENT_CLASS,
+    KEYED_CELL_CLASS,
+    START_MS,
+    attempt_ended,
+    endpoint_list_update,
+    gateway,
+    request_arrived,
+)
 
 SIZES = [  # gateways, backends
     (6, 12),
@@ -34,14 +42,14 @@
 
 
 def random_backends(count: int, seed: int = 1) -> list[int]:
-    draw = Random(seed)
-    return [draw.getrandbits(48) for _ in range(count)]
+    random = Random(seed)
+    return [random.getrandbits(48) for _ in range(count)]
 
 
 def subset_of(
     gateways: int, backends: list[int], index: int = 0, partition_count: int = 1
 ) -> Subset:
-    """Return the subset of a gateway to which all these backends are ready."""
+    """Return the subset of a gateway for which all these backends are ready."""
     subset = Subset(gateways, index, partition_count)
     for backend in backends:
         subset.set_ready(backend, True)
@@ -49,7 +57,7 @@
 
 
 def assigned_pairs(subset: Subset) -> frozenset[tuple[int, int]]:
-    """Return the pairs of a gateway and a backend of its subset."""
+    """Return all pairs of a gateway and a backend of its subset."""
     return frozenset(
         (gateway, backend)
         for gateway, backends in enumerate(subset.assign().subsets)
@@ -80,34 +88,38 @@
     assert counted == gateway_counts
 
 
-# By rank in a ring it was 14, 77, 84 and 23 here, and grew with the fleet.
+# Assignment by rank in a ring changed 14, 77, 84 and 23 pairs here, and more in larger fleets.
 @pytest.mark.parametrize(
-    ("gateways", "backends", "most"), [(40, 60, 13), (200, 200, 14), (300, 70, 65), (54, 773, 9)]
+    ("gateways", "backends", "max_new_pairs"),
+    [(40, 60, 13), (200, 200, 14), (300, 70, 65), (54, 773, 9)],
 )
 def test_a_replaced_backend_changes_few_other_pairs(
-    gateways: int, backends: int, most: int
+    gateways: int, backends: int, max_new_pairs: int
 ) -> None:
     listed = random_backends(backends)
-    draw = Random(2)
+    random = Random(2)
     subset = subset_of(gateways, listed)
     before = assigned_pairs(subset)
     new_pairs = 0
     for _ in range(20):
-        position = draw.randrange(backends)
+        position = random.randrange(backends)
         subset.set_ready(listed[position], False)
-        listed[position] = draw.getrandbits(48)
+        listed[position] = random.getrandbits(48)
         subset.set_ready(listed[position], True)
         after = assigned_pairs(subset)
         new_pairs += len(after - before)
         before = after
-    assert new_pairs / 20 <= most
+    assert new_pairs / 20 <= max_new_pairs
 
 
 @pytest.mark.parametrize(("gateways", "backends"), [(6900, 200), (1000, 900), (3000, 1)])
-def test_the_shards_of_a_large_fleet_share_out_the_gateways_of_a_backend(
+def test_shards_of_a_large_fleet_divide_the_gateways_of_a_backend(
     gateways: int, backends: int
 ) -> None:
-    """As one shard, 6,900 gateways of 200 backends took a tenth of a second for each change."""
+    """Guard against slow updates.
+
+    As one shard, 6,900 gateways of 200 backends took a tenth of a second for each change.
+    """
     listed = random_backends(backends)
     gateway_counts = dict.fromkeys(listed, 0)
     subsets = []
@@ -120,7 +132,7 @@
             gateway_counts[backend] += count
         assert subset.members() == shard.subsets[0]
         mean_gateways = max(MIN_SUBSET_SIZE, MIN_SUBSET_SIZE * gateways / backends)
-        assert 0.8 <= subset.gateways_of(listed[0]) / mean_gateways <= 1.3 or backends == 1
+        assert 0.8 <= subset.gateway_count(listed[0]) / mean_gateways <= 1.3 or backends == 1
     assert len(subsets) == gateways
     assert min(map(len, subsets)) == min(MIN_SUBSET_SIZE, backends)
     assert max(map(len, subsets)) <= MIN_SUBSET_SIZE + 1
@@ -129,7 +141,7 @@
     assert max(gateway_counts.values()) <= max(2 * MIN_SUBSET_SIZE, 1.4 * fewest_gateways)
 
 
-def test_the_same_list_gives_the_same_pairs_whatever_came_before() -> None:
+def test_the_same_list_gives_the_same_pairs_after_any_history() -> None:
     listed = random_backends(60)
     earlier = random_backends(30, seed=2)
     direct = subset_of(40, listed)
@@ -144,7 +156,7 @@
     assert direct.members() == direct.assign().subsets[0]
 
 
-def test_a_hash_that_is_handed_over_changes_nothing() -> None:
+def test_a_precomputed_hash_gives_the_same_result() -> None:
     listed = random_backends(60)
     subset = Subset(40, 0)
     for backend in listed:
@@ -154,12 +166,12 @@
     assert subset.ready == subset_of(40, listed[1:]).ready
 
 
-def test_a_fleet_of_the_planned_size_is_assigned_evenly_and_survives_the_loss_of_a_zone() -> None:
-    """6,900 gateways, 99,000 backends in 21 zones: no backend has much fewer gateways."""
+def test_the_planned_fleet_is_assigned_evenly_and_keeps_most_backends_without_a_zone() -> None:
+    """Check 6,900 gateways and 99,000 backends in 21 zones; backends have 3 to 5 gateways each."""
     gateways = 6900
     listed = random_backends(99_000)
     partition = Partition(gateways, 0)
-    assert partition.grow_for(len(listed))
+    assert partition.split_to_fit(len(listed))
     partition_count = partition.partition_count
     partitions = backends_by_partition(gateways, partition_count, listed)
     assert sum(map(len, partitions)) == len(listed)
@@ -183,30 +195,30 @@
     """Return the backends of each partition."""
     partitions: list[list[int]] = [[] for _ in range(partition_count)]
     for backend in listed:
-        # Of two partitions one holds it, and so on however often these are divided.
-        (half,) = [index for index in range(2) if Partition(gateways, index, 2).holds(backend)]
+        # Partitions are split in two, so a backend stays in the same half of them.
+        (half,) = [index for index in range(2) if Partition(gateways, index, 2).contains(backend)]
         for index in range(half, partition_count, 2):
-            if Partition(gateways, index, partition_count).holds(backend):
+            if Partition(gateways, index, partition_count).contains(backend):
                 partitions[index].append(backend)
                 break
     return partitions
 
 
-def test_what_one_gateway_holds_does_not_grow_with_the_fleet() -> None:
+def test_the_size_of_a_partition_does_not_grow_with_the_fleet() -> None:
     for gateways, backends in [(200, 200), (690, 9900), (6900, 99_000), (20_000, 300_000)]:
         partition = Partition(gateways, gateways // 2)
-        partition.grow_for(backends)
+        partition.split_to_fit(backends)
         assert backends / partition.partition_count <= MAX_PARTITION_BACKENDS
         # Enough gateways to spread the backends of the partition evenly.
         assert gateways / partition.partition_count >= 10 * MIN_SUBSET_SIZE
     few_gateways = Partition(3, 0)
-    assert not few_gateways.grow_for(5000)
-    assert few_gateways.holds(7)
+    assert not few_gateways.split_to_fit(5000)
+    assert few_gateways.contains(7)
 
 
 def test_repartitioning_is_needed_beyond_the_bounds_of_a_partition_and_not_at_them() -> None:
     partition = Partition(20_000, 5)
-    partition.grow_for(99_000)
+    partition.split_to_fit(99_000)
     assert partition.needs_repartitioning(2 * MAX_PARTITION_BACKENDS + 1)
     assert partition.needs_repartitioning(MAX_PARTITION_BACKENDS // 4 - 1)
     assert not partition.needs_repartitioning(2 * MAX_PARTITION_BACKENDS)
@@ -215,7 +227,7 @@
 
 def test_repartitioning_is_not_needed_where_it_is_not_possible() -> None:
     fewest_gateways = Partition(6900, 5)
-    fewest_gateways.grow_for(99_000)
+    fewest_gateways.split_to_fit(99_000)
     assert not fewest_gateways.needs_repartitioning(5 * MAX_PARTITION_BACKENDS)
     assert not Partition(6900, 5).needs_repartitioning(3)
     assert not Partition(3, 0).needs_repartitioning(5000)
@@ -226,12 +238,14 @@
     g = gateway(*listed, gateways=640, index=9)
     assert len(g.endpoints.backends) == 400
     partition = Partition(640, 9, 4)
-    held = [backend for backend in listed if partition.holds(backend)]
-    g.handle(START, EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(held[0])], partition_count=4))
+    held = [backend for backend in listed if partition.contains(backend)]
+    g.handle(
+        START_MS, EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(held[0])], partition_count=4)
+    )
     ready = sorted(entry.backend for entry in g.endpoints.subset.ready)
     assert sorted(g.endpoints.backends) == sorted(held) == ready
     assert 60 <= len(held) <= 140
-    assert [type(action) for action in g.handle(START, request(1))] == [Send]
+    assert [type(action) for action in g.handle(START_MS, request_arrived(1))] == [Send]
 
 
 def test_the_budget_of_a_cold_backend_is_shared_among_its_gateways() -> None:
@@ -239,34 +253,39 @@
     gateway_counts = []
     for gateways in (2, 40):
         g = gateway(*range(1, 41), gateways=gateways, index=0, initial_capacity=0.5)
-        g.handle(START, fleet(*range(1, 41), kind=UpdateKind.CHANGES, up=START))
+        g.handle(
+            START_MS, endpoint_list_update(*range(1, 41), kind=UpdateKind.CHANGES, up=START_MS)
+        )
         (backend, *_) = g.endpoints.subset.members()
-        g.load_balancer.slow_start.admits(START, g.endpoints.backends[backend], 1.0)
+        g.load_balancer.slow_start.admits(START_MS, g.endpoints.backends[backend], 1.0)
         budgets.append(g.endpoints.backends[backend].slow_start_share)
-        gateway_counts.append(g.endpoints.subset.gateways_of(backend))
+        gateway_counts.append(g.endpoints.subset.gateway_count(backend))
     assert gateway_counts[0] == 2
     assert gateway_counts[1] >= MIN_SUBSET_SIZE
     assert budgets[1] <= budgets[0]
 
 
 def test_a_keyed_retry_can_choose_backends_of_its_group_outside_the_subset() -> None:
-    """A subset has hardly one of the 30 backends of a zone; the retry has three to choose from."""
+    """Guard against retries without a choice of backends.
+
+    A subset contains about one of the 30 backends of a zone; the retry can choose among three.
+    """
     zones = {backend: backend % 30 for backend in range(1, 901)}
     endpoints = [Endpoint(backend, zone=zone, cell=zone) for backend, zone in zones.items()]
     for index in range(0, 900, 90):
-        g = gateway(1, gateways=900, index=index, classes=(KEYED,))
-        g.handle(START, EndpointListUpdate(UpdateKind.FULL, endpoints))
-        (send,) = sends(g.handle(START, request(1)))
-        reset = ended(1, send.backend, Outcome.RESET, elapsed_ms=50)
-        retries = sends(g.handle(START + 50, reset))
+        g = gateway(1, gateways=900, index=index, classes=(KEYED_CELL_CLASS,))
+        g.handle(START_MS, EndpointListUpdate(UpdateKind.FULL, endpoints))
+        (send,) = sends(g.handle(START_MS, request_arrived(1)))
+        reset = attempt_ended(1, send.backend, Outcome.RESET, elapsed_ms=50)
+        retries = sends(g.handle(START_MS + 50, reset))
         assert retries
         assert retries[0].backend != send.backend
         assert zones[retries[0].backend] == zones[send.backend]
         assert len(g.load_balancer.candidates(g.pending[1])) == MIN_SUBSET_SIZE
 
 
-def test_no_more_candidates_are_compared_in_a_large_partition() -> None:
-    g = gateway(*random_backends(1000), gateways=40, classes=(SAFE,))
-    g.handle(START, request(1))
+def test_number_of_candidates_is_bounded_in_a_large_partition() -> None:
+    g = gateway(*random_backends(1000), gateways=40, classes=(IDEMPOTENT_CLASS,))
+    g.handle(START_MS, request_arrived(1))
     assert len(g.endpoints.subset.members()) > MAX_CANDIDATES
     assert len(g.load_balancer.candidates(g.pending[1])) == MAX_CANDIDATES
--- a/tests/server/test_request_reader.py
+++ b/tests/server/test_request_reader.py
@@ -1,17 +1,17 @@
-"""Requests put together from pieces, without sockets."""
+"""Parsing of requests from pieces of input, without sockets."""
 
 from __future__ import annotations
 
 import pytest
 
 from sumacpost.errors import RequestError
-from sumacpost.http1 import MAX_BODY, MAX_HEAD
+from sumacpost.http1 import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from sumacpost.server.request_reader import MAX_MESSAGE_BYTES, RequestMessage, RequestReader
 from tests.support.http_client import request
 
 
 class RecordingReader(RequestReader):
-    """A reader that keeps the requests it has read."""
+    """A reader that stores the requests that it has read."""
 
     def __init__(self) -> None:
         self.messages: list[RequestMessage] = []
@@ -72,10 +72,10 @@
     ("data", "status"),
     [
         (b"nonsense\r\n\r\n", 400),
-        (b"GET / HTTP/1.1\r\nX: " + b"x" * MAX_HEAD, 431),
+        (b"GET / HTTP/1.1\r\nX: " + b"x" * MAX_HEAD_BYTES, 431),
         (request(body="", Content_Length="5", Transfer_Encoding="chunked"), 400),
         (request(body="", Content_Length=None, Transfer_Encoding="gzip"), 400),
-        (request(body="", Content_Length=str(MAX_BODY + 1)), 413),
+        (request(body="", Content_Length=str(MAX_BODY_BYTES + 1)), 413),
         (
             request(body="", Content_Length=None, Transfer_Encoding="chunked")
             + b"1;"
@@ -85,7 +85,7 @@
     ],
     ids=["no HTTP", "long head", "two framings", "unknown coding", "long body", "long framing"],
 )
-def test_error_tells_the_status_of_the_response(
+def test_error_contains_the_status_of_the_response(
     reader: RecordingReader, data: bytes, status: int
 ) -> None:
     with pytest.raises(RequestError) as error:
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -1,4 +1,4 @@
-"""The pools of a fleet of one backend, and the outcomes of its attempts."""
+"""Connection pools for a single backend, and the outcomes of its attempts."""
 
 from __future__ import annotations
 
@@ -11,28 +11,33 @@
 PAYLOAD = b"POST /vat-filing HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"
 
 
-class Outcomes:
-    """A fleet of one backend, at a port of this machine; records the outcomes of its attempts."""
+class AttemptRecorder:
+    """Starts attempts on a single backend on loopback and records their outcomes.
+
+    Attributes:
+        ended_attempts: the ended attempts with outcome and response, in order of their ends.
+        pool_manager: the connection pools under test; the backend has number 1.
+    """
 
     def __init__(self, port: int, max_connections: int = 10, idle_timeout_s: float = 30.0) -> None:
-        self.ended: list[tuple[Attempt, Outcome, Response | None]] = []
-        self.backends = PoolManager(
+        self.ended_attempts: list[tuple[Attempt, Outcome, Response | None]] = []
+        self.pool_manager = PoolManager(
             max_connections=max_connections,
             connect_timeout_s=0.25,
             backend_idle_timeout_s=idle_timeout_s,
-            on_attempt_ended=lambda *end: self.ended.append(end),
+            on_attempt_ended=lambda *end: self.ended_attempts.append(end),
         )
-        self.backends.update_endpoint(1, ("127.0.0.1", port))
+        self.pool_manager.update_address(1, ("127.0.0.1", port))
 
     def start(self, payload: bytes = PAYLOAD) -> Attempt:
-        """Begin an attempt; assert that its outcome does not come within the call."""
+        """Start an attempt; assert that its outcome is not reported during the call."""
         attempt = Attempt(None, 0, 1, lambda: payload, 0.0)
-        self.backends.start(attempt)
-        assert not any(a is attempt for a, _, _ in self.ended)
+        self.pool_manager.start(attempt)
+        assert not any(a is attempt for a, _, _ in self.ended_attempts)
         return attempt
 
     async def outcome(self, payload: bytes = PAYLOAD) -> tuple[Outcome, Response | None]:
-        """Begin an attempt and return how it ended."""
+        """Start an attempt, wait for its end and return its outcome and response."""
         attempt = self.start(payload)
-        await until(lambda: any(a is attempt for a, _, _ in self.ended))
-        return next((o, r) for a, o, r in self.ended if a is attempt)
+        await until(lambda: any(a is attempt for a, _, _ in self.ended_attempts))
+        return next((o, r) for a, o, r in self.ended_attempts if a is attempt)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,30 +1,30 @@
-"""The bounded reader of HTTP/1.1 responses, fed directly."""
+"""The HTTP/1.1 response reader with size limits, fed with bytes directly."""
 
 from __future__ import annotations
 
 import pytest
 
 from sumacpost.errors import ResponseError
-from sumacpost.http1 import MAX_HEAD, Response, ResponseReader
+from sumacpost.http1 import MAX_HEAD_BYTES, Response, ResponseReader
 
 RESPONSE = b"HTTP/1.1 200 OK\r\nX-Part: a\r\nX-Part: b\r\nContent-Length: 4\r\n\r\ndone"
 
 
 @pytest.fixture
 def reader() -> ResponseReader:
-    return ResponseReader(max_body=16)
+    return ResponseReader(max_body_bytes=16)
 
 
 def test_a_response_may_come_byte_by_byte(reader: ResponseReader) -> None:
     *first, last = [RESPONSE[n : n + 1] for n in range(len(RESPONSE))]
     assert [reader.feed(byte) for byte in first] == [None] * len(first)
-    assert reader.response_begun
+    assert reader.response_started
     headers = {b"x-part": b"a, b", b"content-length": b"4"}
     assert reader.feed(last) == Response(200, headers, b"done", keep_alive=True)
-    assert not reader.response_begun
+    assert not reader.response_started
 
 
-def test_bytes_behind_a_complete_response_end_the_reuse_of_its_connection(
+def test_bytes_after_a_complete_response_prevent_connection_reuse(
     reader: ResponseReader,
 ) -> None:
     response = reader.feed(RESPONSE + RESPONSE)
@@ -35,9 +35,9 @@
 
 def test_the_heads_of_interim_responses_are_bounded_together(reader: ResponseReader) -> None:
     interim = b"HTTP/1.1 100 Continue\r\n\r\n"
-    for _ in range(MAX_HEAD // len(interim)):
+    for _ in range(MAX_HEAD_BYTES // len(interim)):
         assert reader.feed(interim) is None
-    with pytest.raises(ResponseError, match="a head of over"):
+    with pytest.raises(ResponseError, match="response head exceeds"):
         reader.feed(interim)
 
 
@@ -49,8 +49,8 @@
         b"11\r\nseventeen letters\r\n0\r\n\r\n",
     ],
 )
-def test_a_body_beyond_the_bound_is_an_error(reader: ResponseReader, response: bytes) -> None:
-    with pytest.raises(ResponseError, match="a body of"):
+def test_a_body_above_the_limit_is_an_error(reader: ResponseReader, response: bytes) -> None:
+    with pytest.raises(ResponseError, match=r"response body: (Content-Length|exceeds)"):
         reader.feed(response)
 
 
@@ -60,10 +60,10 @@
 def test_a_response_without_a_length_ends_with_its_connection(reader: ResponseReader) -> None:
     for piece in (UNBOUNDED, b"do", b"ne"):
         assert reader.feed(piece) is None
-    assert reader.response_begun
+    assert reader.response_started
     expected = Response(200, {b"x-part": b"a"}, b"done", keep_alive=False)
     assert reader.feed_eof() == expected
-    assert not reader.response_begun
+    assert not reader.response_started
     assert reader.feed_eof() is None
 
 
@@ -78,7 +78,7 @@
         RESPONSE,
     ],
 )
-def test_the_end_of_the_connection_completes_no_other_response(
+def test_the_connection_end_completes_no_response_with_another_framing(
     reader: ResponseReader, incomplete: bytes
 ) -> None:
     reader.feed(incomplete)
@@ -87,13 +87,13 @@
 
 def test_a_body_without_a_length_is_bounded(reader: ResponseReader) -> None:
     reader.feed(UNBOUNDED + b"x" * 16)
-    with pytest.raises(ResponseError, match="a body of"):
+    with pytest.raises(ResponseError, match="response body: exceeds"):
         reader.feed(b"x")
 
 
-def test_the_pieces_of_a_good_body_go_to_the_callback() -> None:
+def test_the_parts_of_a_200_body_are_passed_to_the_callback() -> None:
     pieces: list[bytes] = []
-    reader = ResponseReader(max_body=16, on_body=pieces.append)
+    reader = ResponseReader(max_body_bytes=16, on_body=pieces.append)
     assert reader.feed(RESPONSE[:-2]) is None
     response = reader.feed(RESPONSE[-2:])
     assert response is not None
@@ -101,17 +101,17 @@
     assert pieces == [b"do", b"ne"]
 
 
-def test_the_body_of_an_error_does_not_go_to_the_callback() -> None:
+def test_the_body_of_an_error_response_is_not_passed_to_the_callback() -> None:
     pieces: list[bytes] = []
-    reader = ResponseReader(max_body=16, on_body=pieces.append)
+    reader = ResponseReader(max_body_bytes=16, on_body=pieces.append)
     assert reader.feed(RESPONSE.replace(b"200 OK", b"500 NO")) is not None
     assert pieces == []
 
 
-def test_what_the_callback_raises_makes_the_response_invalid() -> None:
+def test_an_exception_of_the_callback_makes_the_response_invalid() -> None:
     def reject(_: bytes) -> None:
         raise ValueError("not a list")
 
-    reader = ResponseReader(max_body=16, on_body=reject)
+    reader = ResponseReader(max_body_bytes=16, on_body=reject)
     with pytest.raises(ResponseError, match="not a list"):
         reader.feed(RESPONSE)
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""The bridge between sockets and gateway."""
+"""The ingress, which connects sockets and gateway."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert "ZeroDivisionError" in caplog.text
 
 
-def test_action_that_cannot_be_carried_out_is_an_error_in_the_log(
+def test_unsupported_action_is_logged_as_an_error(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -45,7 +45,7 @@
 def test_exception_on_a_counter_reply_fails_the_waiting_request_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The event names no request, but the action that fails does."""
+    """The event refers to no request, but the action that fails does."""
 
     def send_to_unknown_backend(gateway: Gateway, now: float, event: Event) -> list[Action]:
         if isinstance(event, CounterReplied):
@@ -61,7 +61,7 @@
     run(test())
 
 
-def test_id_of_a_pending_request_is_rejected_and_never_forwarded() -> None:
+def test_duplicate_id_of_a_pending_request_is_rejected_and_not_forwarded() -> None:
     async def test() -> None:
         async with running_ingress(never_respond) as ingress:
             (backend,) = ingress.backends
@@ -73,7 +73,8 @@
             backend.writers[0].write(OK_RESPONSE)
             assert (await first.read_response()).status == 200
             backend.script = respond()
-            assert (await ingress.send(request())).status == 200  # it is pending no more
+            # The first request is no longer pending, so its id may be used again.
+            assert (await ingress.send(request())).status == 200
             assert len(backend.requests) == 2
 
     run(test())
@@ -88,7 +89,7 @@
         "units=2,spread=2,first=7",
     ],
 )
-def test_impossible_quota_figures_change_no_estimate(quota: str) -> None:
+def test_invalid_quota_info_leaves_estimates_unchanged(quota: str) -> None:
     plan = {
         "name": "plus",
         "per_second": 0.01,
@@ -100,9 +101,9 @@
 
     async def test() -> None:
         async with running_ingress(respond(), settings={"plans": [plan]}) as ingress:
-            before = ingress.gateway.estimate.mean_work
+            before = ingress.gateway.estimate.mean_work_ms
             assert (await ingress.send(request(Quota_Info=quota))).status == 400
-            assert ingress.gateway.estimate.mean_work == before
+            assert ingress.gateway.estimate.mean_work_ms == before
             assert not ingress.gateway.customers.by_number
 
     run(test())
@@ -122,7 +123,7 @@
         ("", 2.0),
     ],
 )
-def test_billed_units_count_only_if_a_request_can_cost_as_much(
+def test_billed_units_are_used_only_up_to_the_largest_request(
     billed_units: str, counted_units: float
 ) -> None:
     async def test() -> None:
@@ -143,17 +144,23 @@
     run(test())
 
 
-def test_counter_reply_is_waited_for_past_the_stated_timeout() -> None:
-    """The calls of a fleet queue at the counter: taken for lost, they admitted work over quota."""
+def test_counter_reply_is_awaited_beyond_the_configured_timeout() -> None:
+    """Calls that time out too early must not admit requests over quota.
+
+    The calls of a whole fleet queue at the counter, so replies may arrive after the configured
+    timeout.
+    """
 
-    async def exhausted_quota_late(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
+    async def report_exhausted_quota_late(
+        peer: Peer, call: bytes, writer: asyncio.StreamWriter
+    ) -> None:
         await asyncio.sleep(0.6)
         writer.write(b"$4\r\n1000\r\n")  # others have used the whole quota
 
     async def test() -> None:
         settings = {"extra": SETTINGS["extra"] | {"count_wait": 500.0}}
         async with running_ingress(
-            respond(), counter=exhausted_quota_late, settings=settings
+            respond(), counter=report_exhausted_quota_late, settings=settings
         ) as ingress:
             response = await ingress.send(
                 request(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures names existing tests, is read strictly, and passes over no others."""
+"""The list of known failures refers to existing tests, is validated, and hides no others."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     "text",
     [
         "tests/test_x.py::test_y",
-        LINE.replace("`", ""),  # tells no failure from another
+        LINE.replace("`", ""),  # does not identify a failure
         LINE + "\n\n",
         "\n".join([LINE] * 4),
     ],
@@ -44,7 +44,7 @@
     ],
 )
 def test_an_entry_describes_its_own_failure_and_no_other(report: str, known: bool) -> None:
-    assert parse(LINE)[0].describes(report) is known
+    assert parse(LINE)[0].matches(report) is known
 
 
 def test_each_known_failure_is_a_test_of_this_tree() -> None:
--- a/tests/upstream/test_connection_races.py
+++ b/tests/upstream/test_connection_races.py
@@ -1,4 +1,4 @@
-"""Two events that cross at a backend's connection. docs/crossings.md lists these pairs."""
+"""Races between two events at a connection to a backend. docs/crossings.md lists the pairs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from sumacpost.upstream.attempt import Attempt
 from sumacpost.upstream.connection import BackendConnection
 from sumacpost.upstream.pool import REUSE_DELAY_S, ConnectionPool
-from tests.support.attempts import Outcomes
+from tests.support.attempts import AttemptRecorder
 from tests.support.configuration import SETTINGS
 from tests.support.connection_gate import ConnectionGate
 from tests.support.discovery_agent import endpoint_entry
@@ -24,77 +24,77 @@
 
 
 @pytest.mark.parametrize("state", [EndpointStatus.DRAINING, EndpointStatus.GONE])
-def test_a_waiting_attempt_is_skipped_once_its_backend_drains_or_is_gone(
+def test_waiting_attempt_is_skipped_when_its_backend_drains_or_is_removed(
     state: EndpointStatus, connection_gate: ConnectionGate
 ) -> None:
-    """A connect timeout may be longer than the grace of a drain."""
+    """A connect timeout may exceed the grace period of a drain, so the attempt must not wait."""
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             attempt = outcomes.start()
-            await until(lambda: connection_gate.arrived == 1)
-            outcomes.backends.apply_update(
+            await until(lambda: connection_gate.connect_calls == 1)
+            outcomes.pool_manager.apply_update(
                 EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(1, state)])
             )
-            assert not attempt.ended  # the list is taken in first
+            assert not attempt.ended  # the whole list is applied first
             connection_gate.open()
-            await until(lambda: attempt.ended and outcomes.backends.open_connections == 0)
-            assert [(a, o) for a, o, _ in outcomes.ended] == [(attempt, Outcome.SKIPPED)]
+            await until(lambda: attempt.ended and outcomes.pool_manager.open_connections == 0)
+            assert [(a, o) for a, o, _ in outcomes.ended_attempts] == [(attempt, Outcome.SKIPPED)]
             assert peer.requests == []
             assert peer.connections == 0
 
     run(test())
 
 
-def test_a_waiting_attempt_is_skipped_once_its_backend_has_moved(
+def test_waiting_attempt_is_skipped_when_its_backend_moves(
     connection_gate: ConnectionGate,
 ) -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             attempt = outcomes.start()
-            await until(lambda: connection_gate.arrived == 1)
-            outcomes.backends.update_endpoint(1, ("127.0.0.1", 1))
+            await until(lambda: connection_gate.connect_calls == 1)
+            outcomes.pool_manager.update_address(1, ("127.0.0.1", 1))
             connection_gate.open()
             await until(lambda: attempt.ended)
-            assert outcomes.ended[0][1] is Outcome.SKIPPED
+            assert outcomes.ended_attempts[0][1] is Outcome.SKIPPED
             assert peer.requests == []
 
     run(test())
 
 
-def test_a_connection_that_came_up_as_its_backend_was_removed_is_closed(
+def test_connection_established_while_its_backend_is_removed_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Connecting can't be cancelled any more at that point."""
+    """The pool has to close it, since connecting can no longer be cancelled at that point."""
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
 
-            class Leaving(BackendConnection):
+            class RemovingConnection(BackendConnection):
                 def __init__(self, pool: ConnectionPool, sock: socket.socket) -> None:
                     super().__init__(pool, sock)
                     assert attempt.connect_task is None
                     assert not attempt.ended
-                    outcomes.backends.apply_update(
+                    outcomes.pool_manager.apply_update(
                         EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(1, EndpointStatus.GONE)])
                     )
 
-            monkeypatch.setattr("sumacpost.upstream.pool.BackendConnection", Leaving)
+            monkeypatch.setattr("sumacpost.upstream.pool.BackendConnection", RemovingConnection)
             attempt = outcomes.start()
-            await until(lambda: attempt.ended and outcomes.backends.open_connections == 0)
-            assert outcomes.ended[0][1] is Outcome.SKIPPED
+            await until(lambda: attempt.ended and outcomes.pool_manager.open_connections == 0)
+            assert outcomes.ended_attempts[0][1] is Outcome.SKIPPED
             assert peer.requests == []
 
     run(test())
 
 
-def test_a_request_whose_backend_drains_while_it_connects_goes_to_another(
+def test_request_goes_to_another_backend_if_the_first_drains_during_the_connect(
     connection_gate: ConnectionGate,
 ) -> None:
-    """Whatever its class: it has not run."""
+    """A retry is allowed for every request class, since the request has not run."""
 
     async def test() -> None:
         changes: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
@@ -109,9 +109,9 @@
         ) as ingress:
             client = await ingress.client()
             client.write(request(Request_Timeout="20.000"))
-            await until(lambda: connection_gate.arrived == 1)
+            await until(lambda: connection_gate.connect_calls == 1)
             ((pool, _),) = [(p, a) for p in ingress.pool_manager._pools.values() for a in p.waiting]
-            drained = next(n for n, b in enumerate(ingress.backends) if b.port == pool.endpoint[1])
+            drained = next(n for n, b in enumerate(ingress.backends) if b.port == pool.address[1])
             changes.set_result(
                 json.dumps(
                     {
@@ -123,7 +123,7 @@
                     }
                 ).encode()
             )
-            await until(lambda: connection_gate.arrived == 2)
+            await until(lambda: connection_gate.connect_calls == 2)
             connection_gate.open()
             status, _, body = await client.read_response()
             assert (status, body) == (200, (b"second", b"first")[drained])
@@ -133,7 +133,7 @@
 
 
 def peek(writer: asyncio.StreamWriter) -> bytes | None:
-    """Return what a peer sees at this moment: b"" is an end, None is silence."""
+    """Return the next byte that the peer would read: b"" at the end of the stream, None if none."""
     descriptor = socket.dup(writer.transport.get_extra_info("socket").fileno())
     with socket.socket(fileno=descriptor) as sock:
         try:
@@ -146,10 +146,14 @@
     "cut",
     [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", b"noise that is no response\r\n\r\n"],
 )
-def test_an_attempt_has_ended_for_its_backend_before_the_next_is_written(
+def test_first_connection_is_shut_down_before_the_next_attempt_is_written(
     cut: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without hedging the first connection is shut down at once, not in the loop's next turn."""
+    """Without hedging, two attempts must not overlap.
+
+    The transport closes its socket only in the next iteration of the event loop, so the connection
+    has to shut the socket down itself.
+    """
 
     async def test() -> None:
         seen: list[bytes | None] = []
@@ -166,10 +170,12 @@
                 other.script = respond()
             writer.write(cut)
 
-        alone: dict[str, Any] = {"permissions": SETTINGS["permissions"] | {"parallel_tries": False}}
-        async with running_ingress(never_respond, never_respond, settings=alone) as ingress:
+        no_hedging: dict[str, Any] = {
+            "permissions": SETTINGS["permissions"] | {"parallel_tries": False}
+        }
+        async with running_ingress(never_respond, never_respond, settings=no_hedging) as ingress:
             client = await ingress.client()
-            for number in range(2):  # a standing connection to each
+            for number in range(2):  # opens a connection to each backend
                 other = await ingress.client()
                 other.write(request("ledger-read", number, Request_Timeout="20.000"))
                 await ingress.wait_for_requests(number + 1)
@@ -195,10 +201,10 @@
         (b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", Outcome.REJECTED),
     ],
 )
-def test_a_response_to_a_partly_written_request_closes_the_connection(
+def test_response_to_a_partly_written_request_closes_the_connection(
     early_response: bytes, outcome: Outcome
 ) -> None:
-    """The rest of the request would be read as the beginning of the next one."""
+    """If it were reused, the rest of the request would be read as the start of the next one."""
 
     async def test() -> None:
         async def first_bytes(reader: asyncio.StreamReader) -> bytes:
@@ -210,59 +216,63 @@
             writer.write(early_response)
 
         async with Peer(early, first_bytes) as peer:
-            outcomes = Outcomes(peer.port)
-            got, _ = await outcomes.outcome(b"x" * 50_000_000)
-            assert got is outcome
-            assert outcomes.backends.open_connections == 0
+            outcomes = AttemptRecorder(peer.port)
+            actual, _ = await outcomes.outcome(b"x" * 50_000_000)
+            assert actual is outcome
+            assert outcomes.pool_manager.open_connections == 0
 
     run(test())
 
 
-def test_a_connection_is_not_reused_before_a_second_response_would_have_come() -> None:
-    """Such responses came up to 4 ms later, by a clock of whole milliseconds; 7 ms are too few."""
+def test_connection_is_not_reused_while_a_second_response_may_arrive() -> None:
+    """A second response would be taken for that to the next request.
+
+    Such responses came up to 4 ms after the first, on a clock with a resolution of 1 ms; an idle
+    time of 7 ms is too short.
+    """
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             await outcomes.outcome()
-            (connection,) = outcomes.backends._pools[1].idle
+            (connection,) = outcomes.pool_manager._pools[1].idle
             connection.idle_since = asyncio.get_running_loop().time() - 0.007
-            assert outcomes.start().connection is None  # it gets a connection of its own
+            assert outcomes.start().connection is None  # it gets a new connection
             connection.idle_since = asyncio.get_running_loop().time() - 0.02
             assert outcomes.start().connection is connection
-            await until(lambda: len(outcomes.ended) == 3)
+            await until(lambda: len(outcomes.ended_attempts) == 3)
 
     run(test())
 
 
-def test_an_attempt_cancelled_after_its_backend_moved_is_never_written() -> None:
-    """It waited on in the pool that had been replaced, and was sent after its end."""
+def test_attempt_cancelled_after_its_backend_moved_is_never_written() -> None:
+    """A cancelled attempt was written if it was still queued in a pool that had been replaced."""
 
     async def test() -> None:
         async with Peer(never_respond) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             first = outcomes.start()
             await until(lambda: len(peer.requests) == 1)
             second = outcomes.start()
-            (old,) = outcomes.backends._pools.values()
+            (old,) = outcomes.pool_manager._pools.values()
             assert second.pool is old
-            outcomes.backends.update_endpoint(1, ("127.0.0.1", 1))
-            outcomes.backends.cancel(second)
+            outcomes.pool_manager.update_address(1, ("127.0.0.1", 1))
+            outcomes.pool_manager.cancel(second)
             assert not old.waiting
             peer.writers[0].write(OK_RESPONSE)
-            await until(lambda: first.ended and outcomes.backends.open_connections == 0)
+            await until(lambda: first.ended and outcomes.pool_manager.open_connections == 0)
             assert len(peer.requests) == 1
 
     run(test())
 
 
-def test_a_backend_that_has_restarted_gets_new_connections() -> None:
+def test_restarted_backend_gets_new_connections() -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             await outcomes.outcome()
-            outcomes.backends.update_endpoint(1, ("127.0.0.1", peer.port), 7.0)
-            assert outcomes.backends.open_connections == 0
+            outcomes.pool_manager.update_address(1, ("127.0.0.1", peer.port), 7.0)
+            assert outcomes.pool_manager.open_connections == 0
             assert (await outcomes.outcome())[0] is Outcome.OK
             assert peer.connections == 2
 
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""Connection pools: reuse, attempts that wait, cancelling, and the bound on connections."""
+"""Connection pools: reuse, waiting attempts, cancellation, and the connection limit."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from sumacpost.model import Outcome
 from sumacpost.upstream.attempt import Attempt
 from sumacpost.upstream.pool import REUSE_DELAY_S, ConnectionPool
-from tests.support.attempts import PAYLOAD, Outcomes
+from tests.support.attempts import PAYLOAD, AttemptRecorder
 from tests.support.event_loop import run, until
 from tests.support.peers import Peer, never_respond, respond
 
@@ -18,14 +18,14 @@
 def test_the_most_recently_used_connection_is_reused() -> None:
     async def test() -> None:
         async with Peer(never_respond) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             first, second = outcomes.start(), outcomes.start()
             await until(lambda: len(peer.requests) == 2)
             for writer in peer.writers:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-                await until(lambda: len(outcomes.ended) in (1, 2))
-            await until(lambda: len(outcomes.ended) == 2)
-            last = outcomes.backends._pools[1].idle[-1]
+                await until(lambda: len(outcomes.ended_attempts) in (1, 2))
+            await until(lambda: len(outcomes.ended_attempts) == 2)
+            last = outcomes.pool_manager._pools[1].idle[-1]
             await asyncio.sleep(2 * REUSE_DELAY_S)
             third = outcomes.start()
             assert third.connection is last
@@ -37,31 +37,31 @@
     run(test())
 
 
-def test_a_connection_that_the_peer_closed_is_never_reused() -> None:
-    """Nor in the moment before the loop has read that: a request would end as a reset."""
+def test_connection_closed_by_the_peer_is_never_reused() -> None:
+    """A request written before the event loop has read the end of the stream would be reset."""
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             await outcomes.outcome()
-            connection = outcomes.backends._pools[1].idle[-1]
-            assert connection.usable()
-            # the close happens at the other end while this loop does nothing else
+            connection = outcomes.pool_manager._pools[1].idle[-1]
+            assert connection.is_usable()
+            # the peer closes while the event loop does not run
             other = peer.writers[0].transport.get_extra_info("socket")
             socket.socket(fileno=socket.dup(other.fileno())).shutdown(socket.SHUT_RDWR)
-            assert not connection.usable()
+            assert not connection.is_usable()
             assert (await outcomes.outcome())[0] is Outcome.OK
             assert peer.connections == 2
 
     run(test())
 
 
-def test_a_connection_that_becomes_free_serves_a_waiting_attempt(
+def test_connection_that_becomes_idle_serves_a_waiting_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         async with Peer(never_respond) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             first = outcomes.start()
             await until(lambda: len(peer.requests) == 1)
 
@@ -72,7 +72,8 @@
             second = outcomes.start()
             peer.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             await until(lambda: first.ended and second.connection is not None)
-            outcomes.backends._pools[1]._connect_failed(second)  # its own connection fails in vain
+            # the failure of the new connection must not end the attempt
+            outcomes.pool_manager._pools[1]._on_connect_failed(second)
             await until(lambda: len(peer.requests) == 2)
             assert peer.connections == 1
             assert not second.ended
@@ -80,34 +81,37 @@
     run(test())
 
 
-def test_a_new_connection_serves_the_attempt_it_was_opened_for() -> None:
-    """One that served an older attempt left its own waiting, if the other connection failed."""
+def test_new_connection_serves_the_attempt_that_it_was_opened_for() -> None:
+    """A connection must not serve an older attempt instead.
+
+    If the connection of the older attempt failed, the newer attempt was left without a connection.
+    """
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
-            pool = outcomes.backends._pools[1]
+            outcomes = AttemptRecorder(peer.port)
+            pool = outcomes.pool_manager._pools[1]
             first = Attempt(None, 0, 1, lambda: PAYLOAD, 0.0)
-            pool.waiting.append(first)  # its connection has not come up yet
+            pool.waiting.append(first)  # its connection is still being established
             assert (await outcomes.outcome())[0] is Outcome.OK
             await until(lambda: first.ended)  # after the reuse delay
-            pool._connect_failed(first)
-            assert [o for a, o, _ in outcomes.ended if a is first] == [Outcome.OK]
+            pool._on_connect_failed(first)
+            assert [o for a, o, _ in outcomes.ended_attempts if a is first] == [Outcome.OK]
             assert peer.connections == 1
 
     run(test())
 
 
-def test_a_peer_that_resets_at_once_leaves_no_attempt_waiting() -> None:
+def test_immediate_reset_leaves_no_attempt_waiting() -> None:
     async def test() -> None:
-        async def hang_up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
 
-        server = await asyncio.start_server(hang_up, "127.0.0.1", 0)
-        outcomes = Outcomes(server.sockets[0].getsockname()[1])
+        server = await asyncio.start_server(reset, "127.0.0.1", 0)
+        outcomes = AttemptRecorder(server.sockets[0].getsockname()[1])
         for _ in range(20):
             assert (await outcomes.outcome())[0] in (Outcome.CONNECT_FAILED, Outcome.RESET)
-        assert outcomes.backends.open_connections == 0
+        assert outcomes.pool_manager.open_connections == 0
         server.close()
 
     run(test())
@@ -116,28 +120,27 @@
 def test_cancelling_an_attempt_closes_its_connection() -> None:
     async def test() -> None:
         async with Peer(never_respond) as peer:
-            outcomes = Outcomes(peer.port)
+            outcomes = AttemptRecorder(peer.port)
             attempt = outcomes.start()
             await until(lambda: bool(peer.requests))
-            outcomes.backends.cancel(attempt)
-            await until(lambda: peer.closed == 1)
-            assert outcomes.backends.open_connections == 0
-            assert not outcomes.ended
+            outcomes.pool_manager.cancel(attempt)
+            await until(lambda: peer.connections_closed == 1)
+            assert outcomes.pool_manager.open_connections == 0
+            assert not outcomes.ended_attempts
 
     run(test())
 
 
-def test_an_attempt_cancelled_while_it_connects_is_never_written() -> None:
+def test_attempt_cancelled_during_the_connect_is_never_written() -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port)
-            outcomes.backends.cancel(outcomes.start())
-            await until(
-                lambda: outcomes.backends.open_connections == 0
-            )  # nor is its connection waited for
+            outcomes = AttemptRecorder(peer.port)
+            outcomes.pool_manager.cancel(outcomes.start())
+            # connecting is cancelled as well
+            await until(lambda: outcomes.pool_manager.open_connections == 0)
             assert (await outcomes.outcome())[0] is Outcome.OK
             assert len(peer.requests) == 1
-            assert len(outcomes.ended) == 1
+            assert len(outcomes.ended_attempts) == 1
 
     run(test())
 
@@ -145,57 +148,57 @@
 def test_idle_connections_are_closed_before_the_backend_closes_them() -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = Outcomes(peer.port, idle_timeout_s=0.0)
+            outcomes = AttemptRecorder(peer.port, idle_timeout_s=0.0)
             await outcomes.outcome()
-            assert outcomes.backends.open_connections == 1
+            assert outcomes.pool_manager.open_connections == 1
             await asyncio.sleep(0.01)
-            outcomes.backends.sweep()
-            assert outcomes.backends.open_connections == 0
-            await until(lambda: peer.closed == 1)
+            outcomes.pool_manager.close_stale_connections()
+            assert outcomes.pool_manager.open_connections == 0
+            await until(lambda: peer.connections_closed == 1)
 
     run(test())
 
 
-def test_connections_to_backends_are_bounded() -> None:
-    """At the bound an idle one is evicted; with none idle the new one is not opened."""
+def test_connections_to_backends_are_limited() -> None:
+    """At the limit, an idle connection is evicted; without an idle one, no connection is opened."""
 
     async def test() -> None:
         peers = [Peer(never_respond), Peer(respond())]
         for peer in peers:
             await peer.start()
-        outcomes = Outcomes(peers[0].port, max_connections=2)
-        outcomes.backends.update_endpoint(2, ("127.0.0.1", peers[1].port))
+        outcomes = AttemptRecorder(peers[0].port, max_connections=2)
+        outcomes.pool_manager.update_address(2, ("127.0.0.1", peers[1].port))
         outcomes.start()
         idle = Attempt(None, 0, 2, lambda: PAYLOAD, 0.0)
-        outcomes.backends.start(idle)
+        outcomes.pool_manager.start(idle)
         await until(lambda: idle.ended)
         outcomes.start()
         await until(lambda: len(peers[0].requests) == 2)
-        await until(lambda: peers[1].closed == 1)
+        await until(lambda: peers[1].connections_closed == 1)
         assert (await outcomes.outcome())[0] is Outcome.CONNECT_FAILED
-        assert outcomes.backends.open_connections == 2
+        assert outcomes.pool_manager.open_connections == 2
         for peer in peers:
             peer.stop()
 
     run(test())
 
 
-def test_a_backend_that_moves_gets_requests_at_its_new_address() -> None:
-    """Nothing goes to the old address any more."""
+def test_backend_that_moves_gets_requests_at_its_new_address() -> None:
+    """Connections to the old address must not be reused."""
 
     async def test() -> None:
         old, new = Peer(respond(b"old")), Peer(respond(b"new"))
         for peer in (old, new):
             await peer.start()
-        outcomes = Outcomes(old.port)
+        outcomes = AttemptRecorder(old.port)
         _, response = await outcomes.outcome()
         assert response is not None
         assert response.body == b"old"
-        outcomes.backends.update_endpoint(1, ("127.0.0.1", new.port))
+        outcomes.pool_manager.update_address(1, ("127.0.0.1", new.port))
         _, response = await outcomes.outcome()
         assert response is not None
         assert response.body == b"new"
-        await until(lambda: old.closed == 1)
+        await until(lambda: old.connections_closed == 1)
         for peer in (old, new):
             peer.stop()
 
