--- a/tests/policy/test_slow_start_property.py
+++ b/tests/policy/test_slow_start_property.py
@@ -1,6 +1,6 @@
 """Gateways that know of a start send two thirds of the tolerated load at most, in any window.
 
-So a failure is never due to them, whatever late gateways add (see slow_start_budget.py).
+So a failure is never due to them, regardless of the load from others (see slow_start_budget.py).
 """
 
 from __future__ import annotations
