--- a/fleetlab/__main__.py
+++ b/fleetlab/__main__.py
@@ -1,4 +1,4 @@
-"""Start: python -m fleetlab."""
+"""Entry point of `python -m fleetlab`."""
 
 from __future__ import annotations
 
--- a/fleetlab/backend_servers.py
+++ b/fleetlab/backend_servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins for backends: a few listening ports that serve a list of any size."""
+"""Stand-in backends: a few listening ports that serve an endpoint list of any size."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from fleetlab.stand_in import StandInServer, format_address
 
 MAX_PORTS = 512
-FULL_LOAD_REQUESTS = 100  # open requests that a load report calls a utilization of 1
+FULL_LOAD_REQUESTS = 100  # requests in flight that a load report gives as a utilization of 1
 
 _CONTENT_LENGTH = re.compile(rb"\r\ncontent-length: *(\d+)", re.I)
 _REQUEST_ID = re.compile(rb"\r\nrequest-id: *([0-9a-f]+)", re.I)
@@ -16,18 +16,19 @@
 
 
 class BackendServers(StandInServer):
-    """Backends on so many loopback ports; many entries of an endpoint list may share one.
+    """Stand-in backends on loopback ports; entries of an endpoint list may share a port.
 
-    service_time_s: how long a request takes. A response has the body "done" and carries a load
-    report.
+    A response has the body "done" and carries a load report, which covers all ports together.
+    ports: the number of ports, from 1 to MAX_PORTS; ValueError otherwise. service_time_s: the time
+    from a request to its response.
     """
 
     def __init__(self, ports: int = 8, service_time_s: float = 0.0) -> None:
         if not 1 <= ports <= MAX_PORTS:
-            raise ValueError(f"{ports} ports are not between 1 and {MAX_PORTS}")
+            raise ValueError(f"number of ports {ports} is not between 1 and {MAX_PORTS}")
         super().__init__()
-        self.request_counts: dict[str, int] = {}  # by endpoint
-        self.last_request_at: dict[str, float] = {}  # by endpoint, on the loop's clock
+        self.request_counts: dict[str, int] = {}  # requests received, by endpoint
+        self.last_request_at: dict[str, float] = {}  # by endpoint, s on the event loop's clock
         self._ports = ports
         self._service_time_s = service_time_s
         self._in_flight = 0
@@ -39,7 +40,7 @@
 
     @property
     def endpoints(self) -> list[str]:
-        """Host and port of each, in the order of their start."""
+        """Host and port of each listener, in the order in which they were started."""
         return list(self.request_counts)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -63,7 +64,7 @@
         finally:
             self._in_flight -= 1
         if writer.transport.is_closing():
-            return  # the client has left
+            return  # the client has closed the connection
         utilization = min(1.0, self._in_flight / FULL_LOAD_REQUESTS)
         writer.write(
             b"HTTP/1.1 200 OK\r\nServer-Load: inflight=%d,queue=0,util=%.2f\r\n"
--- a/fleetlab/command.py
+++ b/fleetlab/command.py
@@ -1,4 +1,4 @@
-"""The command line: sweep, real, pairs, soak, planted and slopes."""
+"""The commands sweep, real, pairs, soak, planted and slopes."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 from fleetlab.soak import planted_faults
 from fleetlab.soak import runs as soak_runs
 
-TABLE_WIDTH = 200  # where the output is no terminal
+TABLE_WIDTH = 200  # columns, if standard output is not a terminal
 
 EXIT_USAGE = 2
 EXIT_ABORTED = 130
@@ -55,7 +55,7 @@
 
 @click.group(no_args_is_help=False)
 def cli() -> None:
-    """Measure ingresses at many sizes, fit slopes, and extrapolate them to the plan's size."""
+    """Measure ingresses at several sizes, fit slopes and extrapolate them to the plan's size."""
 
 
 @cli.command()
@@ -65,15 +65,15 @@
     "axes",
     multiple=True,
     type=click.Choice(list(DEFAULT_POINTS)),
-    help="All, if none is named.",
+    help="Axis to measure; may be repeated. All axes by default.",
 )
 @POINTS_OPTION
-@click.option("--seconds", default=5.0, type=SECONDS_RANGE, help="Measured at each point.")
+@click.option("--seconds", default=5.0, type=SECONDS_RANGE, help="Measured time at each point.")
 @SEED_OPTION
 def sweep(
     out: Path, axes: tuple[str, ...], points: tuple[int, ...], seconds: float, seed: int
 ) -> None:
-    """Measure a grid of sizes with synthetic ingresses; each result is written at once."""
+    """Measure a grid of sizes with synthetic ingresses; write each result once it is measured."""
     grid = make_grid(axes, points)
     out.mkdir(parents=True, exist_ok=True)
     commit = current_commit()
@@ -88,14 +88,14 @@
             note = str(error)
         result = Result("sweep", point.axis, point.size, seed, figures, commit, machine, note)
         append_result(out / f"{point.axis}.jsonl", result)
-        shown = {name: round(value, 3) for name, value in figures.items() if value is not None}
+        rounded = {name: round(value, 3) for name, value in figures.items() if value is not None}
         console.print(
-            f"{point.axis} {point.size}: {note or shown}", highlight=False, soft_wrap=True
+            f"{point.axis} {point.size}: {note or rounded}", highlight=False, soft_wrap=True
         )
 
 
 class _RealOptions(TypedDict):
-    """Options of `real` that are fields of a RealRun."""
+    """Options of the command `real` that are fields of RealRun."""
 
     backends: int
     seconds: float
@@ -112,40 +112,48 @@
     "--backends",
     default=200,
     type=click.IntRange(1, MAX_POINTS["backends"]),
-    help="Listed by discovery.",
+    help="Backends in the list of discovery.",
 )
 @click.option(
     "--mode",
     default=ResponseMode.GOOD.value,
     type=click.Choice([mode.value for mode in ResponseMode]),
-    help="How discovery responds.",
+    help="How discovery responds to polls.",
 )
 @click.option(
-    "--seconds", default=10.0, type=SECONDS_RANGE, help="To get ready in, and of requests then."
+    "--seconds",
+    default=10.0,
+    type=SECONDS_RANGE,
+    help="Maximum time until ready; also the duration of the load without the drain.",
 )
 @click.option(
     "--known",
     default=0,
     type=click.IntRange(0, MAX_POINTS["backends"]),
-    help="Listed in the configuration file.",
+    help="Backends listed in the configuration file.",
+)
+@click.option(
+    "--index",
+    default=0,
+    type=click.IntRange(0, INGRESSES - 1),
+    help="Index of the ingress in the fleet.",
 )
-@click.option("--index", default=0, type=click.IntRange(0, INGRESSES - 1), help="Of the ingress.")
 @click.option(
     "--rate",
     default=REQUESTS_PER_S / INGRESSES,
     type=click.FloatRange(1, MAX_RATE),
-    help="Requests a second.",
+    help="Requests per second.",
 )
 @click.option(
     "--changes",
     "changes_per_s",
     default=1.0,
     type=click.FloatRange(0, MAX_CHANGES_PER_S),
-    help="Changes of the list, a second.",
+    help="Changes of the endpoint list per second.",
 )
 @SEED_OPTION
 def real(out: Path, mode: str, **options: Unpack[_RealOptions]) -> None:
-    """Run one real ingress before stand-in servers, and measure it from outside."""
+    """Run one real ingress with stand-in servers, and measure it from outside its process."""
     out.mkdir(parents=True, exist_ok=True)
     run = RealRun(mode=ResponseMode(mode), **options)
     note = ""
@@ -153,10 +161,10 @@
     try:
         figures = run_interruptible(real_ingress.measure_with_baseline(run))
     except (MemoryLimitError, RuntimeError, TimeoutError) as error:
-        note = str(error) or "the ingress did not serve in time"
+        note = str(error) or "the ingress did not start to listen in time"
     else:
         if figures["ready_s"] is None:
-            note = f"never ready within {run.seconds:g} s"
+            note = f"the ingress was not ready within {run.seconds:g} s"
     axis = "real" if run.mode is ResponseMode.GOOD else f"real-{mode}"
     append_result(
         out / f"{axis}.jsonl",
@@ -185,17 +193,17 @@
     "--sizes",
     "sizes_text",
     default=",".join(f"{size.gateways}x{size.backends}" for size in pair_model.DEFAULT_SIZES),
-    help="Gateways x backends, with commas between.",
+    help="Comma-separated fleet sizes, each as GATEWAYSxBACKENDS.",
 )
 @click.option(
     "--replacements",
     default=10,
     type=click.IntRange(1, MAX_REPLACEMENTS),
-    help="Backends replaced in turn.",
+    help="Number of backends to replace, one after another.",
 )
 @SEED_OPTION
 def pairs(out: Path, sizes_text: str, replacements: int, seed: int) -> None:
-    """Model which gateways have which backends: by rank, as before, and by subset, as now."""
+    """Model the subsets of all gateways by the former scheme (rank) and the current (subset)."""
     sizes = parse_sizes(sizes_text)
     out.mkdir(parents=True, exist_ok=True)
     commit = current_commit()
@@ -204,9 +212,11 @@
     table = Table(*(name.replace("_", " ") for name in names), title=f"seed {seed}")
     for size in sizes:
         for scheme in pair_model.SCHEMES:
-            found = pair_model.measure(scheme, size.gateways, size.backends, seed, replacements)
+            pair_figures = pair_model.measure(
+                scheme, size.gateways, size.backends, seed, replacements
+            )
             figures: Figures = {
-                name: float(getattr(found, name)) for name in names if name != "scheme"
+                name: float(getattr(pair_figures, name)) for name in names if name != "scheme"
             }
             axis = f"pairs-{scheme}"
             result = Result("pairs", axis, size.backends, seed, figures, commit, machine)
@@ -217,16 +227,18 @@
 
 @cli.command()
 @OUT_OPTION
-@click.option("--seeds", default="1:3", help="From the first to the last, as FIRST:LAST.")
+@click.option("--seeds", default="1:3", help="Range of seeds, as FIRST:LAST; both are included.")
 @click.option(
     "--ingresses",
     default=0,
     type=click.IntRange(0, MAX_SOAK_INGRESSES),
-    help="Processes of each run; 0: drawn for each seed.",
+    help="Ingress processes in each run; 0: drawn from each seed.",
+)
+@click.option(
+    "--seconds", default=12.0, type=SECONDS_RANGE, help="Duration of the load in each run."
 )
-@click.option("--seconds", default=12.0, type=SECONDS_RANGE, help="Of load, in each run.")
 def soak(out: Path, seeds: str, ingresses: int, seconds: float) -> None:
-    """Play randomized faults on real ingresses, and judge each run by the rules."""
+    """Run real ingresses under random faults, and check each run against the rules."""
     violations = 0
     for seed in parse_seeds(seeds):
         result = run_interruptible(soak_runs.run_seed(out, seed, ingresses, seconds))
@@ -237,14 +249,14 @@
 
 
 @cli.command()
-@click.option("--only", default="", help="Those whose name contains this.")
+@click.option("--only", default="", help="Run only the planted faults whose name contains this.")
 def planted(only: str) -> None:
-    """Play the soak on copies of the program with known faults; each has to be found."""
+    """Run the soak on copies of the program with planted faults; each fault has to be found."""
     missed = 0
-    for fault, found in planted_faults.run_all(only):
-        missed += fault.rule not in found
-        verdict = "found" if fault.rule in found else "MISSED"
-        line = f"{verdict}: {fault.name} (seed {fault.seed}, {fault.rule}): {found}"
+    for fault, violated_rules in planted_faults.run_all(only):
+        missed += fault.rule not in violated_rules
+        verdict = "found" if fault.rule in violated_rules else "MISSED"
+        line = f"{verdict}: {fault.name} (seed {fault.seed}, {fault.rule}): {violated_rules}"
         Console().print(line, highlight=False, soft_wrap=True)
     if missed:
         raise click.ClickException(f"{missed} planted faults were not found")
@@ -253,10 +265,10 @@
 @cli.command()
 @click.argument("folder", type=click.Path(exists=True, path_type=Path))
 def slopes(folder: Path) -> None:
-    """Fit a line through each figure of each axis, and show what it says at the plan's size."""
+    """Fit a line through each figure of each axis, and show its value at the plan's size."""
     results = read_results(folder)
     if not results:
-        raise click.UsageError(f"{str(folder)!r} holds no results")
+        raise click.UsageError(f"{str(folder)!r} contains no results")
     table = Table(*(field.name for field in fields(Slope)))
     for slope in fit(results):
         table.add_row(*(_format_cell(value) for value in astuple(slope)))
@@ -278,8 +290,9 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run a command and return its exit code.
 
-    0; 2 after one line on standard error about what can't be used; 128 and the signal's number
-    if interrupted.
+    0: success. 2: failure, after one line on standard error that describes it. 128 plus the number
+    of the signal: interrupted by SIGINT or SIGTERM. 130: aborted by click, as on Ctrl-C outside a
+    run.
     """
     try:
         cli.main(args=arguments, prog_name="fleetlab", standalone_mode=False)
@@ -288,7 +301,10 @@
     except (ResultError, OSError) as error:
         return _print_error(str(error))
     except InterruptedRunError as error:
-        print("fleetlab: interrupted; all that was started has been ended", file=sys.stderr)
+        print(
+            "fleetlab: interrupted; all started processes and servers have been stopped",
+            file=sys.stderr,
+        )
         return EXIT_SIGNAL_BASE + error.signum
     except click.exceptions.Abort:
         return EXIT_ABORTED
--- a/fleetlab/counter_server.py
+++ b/fleetlab/counter_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for the shared counter: ADDGET over RESP2, at a finite rate in shards by name."""
+"""A stand-in for the shared counter: ADDGET over RESP2, sharded by name, at a limited rate."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 MIN_TTL_MS = 1.0
 MAX_NAME_BYTES = 64
 MAX_AMOUNT = 1e9
-MAX_CALL_STRINGS = 16  # of a call
+MAX_CALL_STRINGS = 16  # bulk strings in one call
 MAX_BULK_STRING_BYTES = 1024
-MAX_QUEUED_REPLIES = 10_000  # of a connection
-PURGE_INTERVAL = 10_000  # calls between two purges of expired totals
+MAX_QUEUED_REPLIES = 10_000  # per connection
+PURGE_INTERVAL = 10_000  # additions between two purges of expired totals
 
 _UNKNOWN_CALL = b"-ERR no such call\r\n"
 _BUSY = b"-BUSY\r\n"
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Total:
-    """The total of one name, and when it expires on the loop's clock."""
+    """The total of one name and its expiry time, in s on the event loop's clock."""
 
     value: float
     expires_at: float
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Addition:
-    """A valid ADDGET."""
+    """The arguments of a valid ADDGET."""
 
     name: bytes
     amount: float
@@ -40,47 +40,48 @@
 
 @dataclass(frozen=True, slots=True)
 class _Reply:
-    """A reply and when it is due on the loop's clock."""
+    """A reply and the time at which it is due, in s on the event loop's clock."""
 
     due_at: float
     data: bytes
 
 
 class CounterServer(StandInServer):
-    """Serves totals by name on a loopback port of the system's choice.
+    """Serves totals by name on a loopback port chosen by the system.
 
-    rate: calls a second of all shards together. max_wait_s: a call that would wait longer for its
-    turn is rejected (-BUSY) and adds nothing.
+    rate: additions per second of all shards together. max_wait_s: an addition whose reply would be
+    due later than this is rejected with -BUSY and adds nothing. Raise ValueError if the rate is not
+    positive or there is no shard.
     """
 
     def __init__(self, rate: float = 100_000.0, shards: int = 4, max_wait_s: float = 0.2) -> None:
         if rate <= 0 or shards < 1:
-            raise ValueError(f"a counter of {rate} calls a second in {shards} shards")
+            raise ValueError(f"invalid counter: {rate} calls per second in {shards} shards")
         super().__init__()
-        self.additions = 0  # additions made
-        self.rejected_additions = 0  # additions rejected
+        self.additions = 0  # executed so far
+        self.rejected_additions = 0  # rejected with -BUSY
         self.bytes_written = 0
         self.totals: dict[bytes, Total] = {}
-        self.address = ""  # host and port, from the start on
+        self.address = ""  # host and port; empty before start()
         self._call_s = shards / rate
         self._max_wait_s = max_wait_s
         self._free_at = [0.0] * shards
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self._loop = asyncio.get_running_loop()
         self.address = await self._listen()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         replies: asyncio.Queue[_Reply] = asyncio.Queue(MAX_QUEUED_REPLIES)
-        writing = asyncio.create_task(self._write_replies(replies, writer))
+        write_task = asyncio.create_task(self._write_replies(replies, writer))
         try:
             while True:
                 await replies.put(self._execute(await _read_call(reader)))
         except ValueError:
-            pass  # what came is no call, and the next can't be found
+            pass  # the input is not a valid call, so the start of the next call is unknown
         finally:
-            writing.cancel()
+            write_task.cancel()
 
     def _execute(self, strings: list[bytes]) -> _Reply:
         now = self._loop.time()
@@ -126,7 +127,7 @@
                 if wait_s > 0:
                     await asyncio.sleep(wait_s)
                 if writer.transport.is_closing():
-                    return  # the client has left
+                    return  # the client has closed the connection
                 writer.write(reply.data)
                 await writer.drain()
                 self.bytes_written += len(reply.data)
@@ -135,7 +136,7 @@
 
 
 def _parse_addition(strings: list[bytes]) -> _Addition | None:
-    """Return the addition that an ADDGET asks for; None if its arguments are out of bounds."""
+    """Return the addition of an ADDGET; None if its arguments are malformed or out of bounds."""
     try:
         _, name, amount_text, ttl_text = strings
         amount = float(amount_text)
@@ -149,22 +150,22 @@
 
 
 async def _read_call(reader: asyncio.StreamReader) -> list[bytes]:
-    """Return the words of one call; ValueError if what comes is none."""
+    """Return the bulk strings of one call; raise ValueError if the input is not a valid call."""
     count = await _read_length(reader, b"*")
     if not 1 <= count <= MAX_CALL_STRINGS:
-        raise ValueError(f"a call of {count} words")
+        raise ValueError(f"call of {count} bulk strings")
     return [await _read_bulk_string(reader) for _ in range(count)]
 
 
 async def _read_bulk_string(reader: asyncio.StreamReader) -> bytes:
     size = await _read_length(reader, b"$")
     if not 0 <= size <= MAX_BULK_STRING_BYTES:
-        raise ValueError(f"a word of {size} bytes")
+        raise ValueError(f"bulk string of {size} bytes")
     return (await reader.readexactly(size + 2))[:-2]
 
 
 async def _read_length(reader: asyncio.StreamReader, marker: bytes) -> int:
     line = (await reader.readuntil(b"\r\n"))[:-2]
     if line[:1] != marker:
-        raise ValueError(f"{line[:1]!r} in place of {marker!r}")
+        raise ValueError(f"expected {marker!r}, got {line[:1]!r}")
     return int(line[1:])
--- a/fleetlab/counting_loop.py
+++ b/fleetlab/counting_loop.py
@@ -1,4 +1,4 @@
-"""An event loop that counts the bytes which its connections receive."""
+"""An event loop that counts the bytes received on its connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class _CountingProtocol(asyncio.Protocol):
-    """Passes everything on to another protocol and counts the bytes that are received."""
+    """Counts the received bytes and forwards all events to another protocol."""
 
     def __init__(self, inner: asyncio.Protocol, count: Callable[[int], None]) -> None:
         self._inner = inner
@@ -38,7 +38,7 @@
 
 
 class CountingLoop(uvloop.Loop):
-    """The event loop of the ingress, with counts of received bytes by the port connected to."""
+    """The event loop of the ingress, extended by counts of received bytes by remote port."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -51,8 +51,8 @@
         port: int | None = None,
         *,
         sock: socket.socket | None = None,
-    ) -> tuple[Any, asyncio.Protocol]:  # the transport is of a type of uvloop's own
-        """Connect to a host and port, or use a connected socket; every byte received is counted.
+    ) -> tuple[Any, asyncio.Protocol]:  # the type of the transport is private to uvloop
+        """Connect to a host and port, or use a connected socket, and count the received bytes.
 
         Bytes from a given socket are counted under None. Other options of the event loop's method
         are not supported.
@@ -62,7 +62,7 @@
             self.received_bytes[port] = self.received_bytes.get(port, 0) + size
 
         inner = protocol_factory()
-        # Any, as uvloop's overloads are for an address or a socket, but not for either.
+        # Typed as Any, since uvloop's overloads take an address or a socket, but not their union.
         destination: dict[str, Any] = {"host": host, "port": port, "sock": sock}
         transport, _ = await super().create_connection(
             lambda: _CountingProtocol(inner, count), **destination
--- a/fleetlab/discovery_server.py
+++ b/fleetlab/discovery_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: the full list, long polls for changes, and unreadable responses."""
+"""A stand-in for discovery: full lists, long polls for changes, and invalid responses."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from fleetlab.versioned_list import JsonObject, VersionedList
 
 LIST_PATH = "/v1/servers"
-CHUNK_BYTES = 64 * 1024  # written at once
+CHUNK_BYTES = 64 * 1024  # largest single write, and size of the send buffer
 MAX_HOLD_MS = 60_000
-OVERSIZED_BYTES = 256 * 1024 * 1024  # of a list that nobody should read in full
-NESTING_DEPTH = 200_000
-ENDLESS_CHUNK_ENTRIES = 400
-ENDLESS_PAUSE_S = 0.005  # between the chunks of a list that never ends
+OVERSIZED_BYTES = 256 * 1024 * 1024  # Content-Length of a list that no reader should read in full
+NESTING_DEPTH = 200_000  # of arrays
+ENDLESS_CHUNK_ENTRIES = 400  # entries in each chunk of an endless list
+ENDLESS_PAUSE_S = 0.005  # between the chunks of an endless list
 
 _NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
 
 class ResponseMode(Enum):
-    """How the server responds to a poll; the values are those of the command line."""
+    """How the server responds to a poll; the values are those of the option --mode."""
 
     GOOD = "good"
-    TRUNCATED = "torn"  # the connection ends half way
+    TRUNCATED = "torn"  # the connection is closed after half of the body
     INDENTED = "indented"
-    OVERSIZED = "huge"  # with a Content-Length beyond any use
+    OVERSIZED = "huge"  # with a Content-Length that no reader should accept
     DEEPLY_NESTED = "deep"
-    ENDLESS = "never-ending"  # chunks without end
+    ENDLESS = "never-ending"  # chunked, without a last chunk
     NOT_A_LIST = "not-a-list"
-    SILENT = "silent"
+    SILENT = "silent"  # polls get no response
     REFUSING = "refusing"  # connections are refused
 
     @property
@@ -44,22 +44,22 @@
 
 
 class DiscoveryServer(StandInServer):
-    """Serves one endpoint list on a loopback port of the system's choice."""
+    """Serves one endpoint list on a loopback port chosen by the system."""
 
     def __init__(
         self, entries: Sequence[JsonObject], mode: ResponseMode = ResponseMode.GOOD
     ) -> None:
         super().__init__()
         self.mode = mode
-        self.full_polls = 0
-        self.watch_polls = 0
+        self.full_polls = 0  # polls for the full list
+        self.watch_polls = 0  # polls for the changes since a version
         self.full_lists = 0  # responses with the full list
-        self.bytes_written = 0
+        self.bytes_written = 0  # in all responses, to all clients
         self.connections = 0  # accepted so far
         self._list = VersionedList(entries)
         self._changed = asyncio.Event()
         self._socket = socket.socket()
-        # As long as nobody listens on it, connections are refused.
+        # The system refuses connections to a bound socket until it listens.
         self._socket.bind((LOOPBACK, 0))
 
     @property
@@ -74,11 +74,11 @@
 
     @property
     def polls(self) -> int:
-        """Polls so far, of both kinds."""
+        """Number of polls so far, for full lists and for changes."""
         return self.full_polls + self.watch_polls
 
     async def start(self) -> None:
-        """Listen, unless connections are to be refused."""
+        """Start to listen, except in the mode REFUSING."""
         if self.mode is not ResponseMode.REFUSING:
             await self._listen(self._socket)
 
@@ -92,7 +92,7 @@
         return self._list.indexes_at(endpoint)
 
     def change(self, indexes: Iterable[int], **fields: object) -> None:
-        """Give these entries these fields in one change, and notify all open polls."""
+        """Set these fields of these entries in one new version, and wake all waiting polls."""
         self._list.update(indexes, fields)
         changed = self._changed
         self._changed = asyncio.Event()
@@ -112,7 +112,7 @@
             writer.close()
 
     async def _respond(self, head: bytes, writer: asyncio.StreamWriter) -> bool:
-        """Respond to one request; return whether the connection is kept open."""
+        """Respond to one request; return whether the connection remains open."""
         method, target, _ = head.split(b"\r\n", 1)[0].decode("latin-1").split(" ", 2)
         url = urlsplit(target)
         if (method, url.path) != ("GET", LIST_PATH):
@@ -138,9 +138,10 @@
         return True
 
     async def _wait_for_change(self, query: str) -> int | None:
-        """Hold a poll until there is a change or its time is up.
+        """Hold a poll for changes until the list changes or the hold time has elapsed.
 
-        Return the version that the poll knows; None if it asks for the full list.
+        A poll that knows another version than the current one, or asks for the full list, is not
+        held. Return the version that the poll knows; None if it asks for the full list.
         """
         parameters = parse_qs(query)
         if "from" not in parameters:
@@ -167,7 +168,7 @@
         return self._list_since(known_version)
 
     def _list_since(self, known_version: int | None) -> bytes:
-        """Return what has changed since a version if that is still known, else the full list."""
+        """Return the changes since a version if they are still known, otherwise the full list."""
         changes = None if known_version is None else self._list.encode_changes(known_version)
         if changes is not None:
             return changes
@@ -204,19 +205,19 @@
             await asyncio.sleep(ENDLESS_PAUSE_S)
 
     async def _write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Write to the peer, and count what its machine has taken rather than what is buffered."""
+        """Write to the peer; count the bytes once the transport has passed them to the system."""
         if writer.transport.is_closing():
-            raise ConnectionResetError("the reader has left")
+            raise ConnectionResetError("the peer has closed the connection")
         writer.write(data)
         await writer.drain()
         self.bytes_written += len(data)
 
 
 def _limit_buffering(writer: asyncio.StreamWriter) -> None:
-    """Keep what is written but not yet read by the peer small, and send it without delay."""
+    """Limit the data written but not yet read by the peer, and send it without delay."""
     writer.transport.set_write_buffer_limits(high=0)
     connection: socket.socket = writer.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, CHUNK_BYTES)
-    # An event loop sets this only on sockets of its own making: without it a short list would
-    # wait for 40 ms.
+    # The event loop sets TCP_NODELAY only on sockets that it has created. Without it, a short list
+    # is delayed by 40 ms.
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/fleetlab/http_connection.py
+++ b/fleetlab/http_connection.py
@@ -1,4 +1,4 @@
-"""A client's HTTP connection, reduced to what a load generator needs."""
+"""A minimal HTTP client connection for generated load and health checks."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
     @classmethod
     async def open(cls, address: str) -> HttpConnection:
-        """Connect to host and port; OSError if that fails."""
+        """Connect to an address, given as host:port; raise OSError if that fails."""
         host, port = split_address(address)
         return cls(*await asyncio.open_connection(host, port))
 
     async def request(self, message: bytes) -> int:
-        """Send a whole request and return the status, once the body has been read to its end."""
+        """Send a complete request, read the whole response and return its status."""
         self.writer.write(message)
         head = await self.reader.readuntil(b"\r\n\r\n")
         if (length := _CONTENT_LENGTH.search(head)) is not None:
--- a/fleetlab/interrupts.py
+++ b/fleetlab/interrupts.py
@@ -1,4 +1,4 @@
-"""Work that can be interrupted: everything it has started is ended first."""
+"""Runs work that SIGINT or SIGTERM cancels, and waits for its clean-up."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class InterruptedRunError(Exception):
-    """SIGINT or SIGTERM has come, and all that was started has been ended."""
+    """SIGINT or SIGTERM was received, and the interrupted work has been cleaned up."""
 
     def __init__(self, signum: int) -> None:
         super().__init__(f"signal {signum}")
@@ -24,14 +24,14 @@
 
 
 def run_interruptible(work: Coroutine[Any, Any, Value]) -> Value:
-    """Run work to its end on an event loop of its own.
+    """Run work on a new event loop and return its result.
 
-    SIGINT or SIGTERM cancels the work; when it has cleaned up, InterruptedRunError is raised. So it
-    is for a signal that comes too late to cancel anything.
+    SIGINT or SIGTERM cancels the work; InterruptedRunError is raised after its clean-up. It is also
+    raised if the signal arrives too late to cancel anything.
 
-    The handlers are the interpreter's, not the loop's: a loop hears of a signal in its next turn,
-    which there is none of once the work has ended, and uvloop's handlers stay behind when it is
-    closed and swallow all later signals.
+    Signals are handled by the interpreter and not by the event loop, for two reasons. A loop
+    handles a signal in its next iteration, and there is none once the work has ended. The handlers
+    of uvloop remain installed when the loop is closed, and swallow all later signals.
     """
     caught_signals: list[int] = []
 
@@ -41,7 +41,7 @@
         assert task is not None
 
         def interrupt(signum: int, _frame: FrameType | None) -> None:
-            # A second signal must not cut the ending of processes short.
+            # A second signal must not interrupt the termination of processes.
             if not caught_signals:
                 caught_signals.append(signum)
                 if not loop.is_closed():
--- a/fleetlab/json_lines.py
+++ b/fleetlab/json_lines.py
@@ -1,4 +1,4 @@
-"""Files of one JSON value a line, which stay readable where a write failed or was cut short."""
+"""Files of one JSON value per line, readable even after a failed or incomplete write."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import msgspec
 
 NEWLINE = b"\n"
-SEARCH_BLOCK_BYTES = 64 * 1024  # read at a time to find the end of the last whole line
+SEARCH_BLOCK_BYTES = 64 * 1024  # read at a time to find the end of the last complete line
 
 
 def append_line(path: Path, value: object) -> None:
-    """Add a value as one line, on the disk when this returns.
+    """Append a value as one line, and return when it is on the disk.
 
-    What a process that was killed had left half written is removed first. Raise OSError if the line
-    can't be written; the file is then as it was.
+    An incomplete last line, left by a killed process, is removed first. Raise OSError if the line
+    can't be written; all complete lines are kept and no part of the new one.
     """
     data = msgspec.json.encode(value) + NEWLINE
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o666)
@@ -33,7 +33,7 @@
 
 
 def read_lines(path: Path) -> list[bytes]:
-    """Return the whole lines of a file; one without an end is no line yet."""
+    """Return the complete lines of a file; a last line without a newline is left out."""
     return path.read_bytes().split(NEWLINE)[:-1]
 
 
@@ -43,7 +43,7 @@
 
 
 def _end_of_last_line(descriptor: int) -> int:
-    """Return the size of the file without a last line that has no end."""
+    """Return the size of the file without an incomplete last line."""
     end = os.fstat(descriptor).st_size
     while end:
         start = max(0, end - SEARCH_BLOCK_BYTES)
--- a/fleetlab/latency.py
+++ b/fleetlab/latency.py
@@ -9,7 +9,7 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds, from 1 to a minute."""
+    """Return an empty histogram of latencies in microseconds, from 1 us to 60 s."""
     return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
@@ -21,7 +21,7 @@
 
 
 def max_ms(histogram: HdrHistogram) -> float | None:
-    """Return the greatest latency in milliseconds; None if nothing was recorded."""
+    """Return the maximum latency in milliseconds; None if nothing was recorded."""
     if not histogram.get_total_count():
         return None
     return float(histogram.get_max_value() / 1000)
--- a/fleetlab/load_generator.py
+++ b/fleetlab/load_generator.py
@@ -1,4 +1,4 @@
-"""An open-loop load generator: requests leave on a schedule, whatever becomes of earlier ones."""
+"""An open-loop load generator: its schedule does not depend on the responses."""
 
 from __future__ import annotations
 
@@ -11,16 +11,20 @@
 
 MAX_CONNECTIONS = 256
 REQUEST_TIMEOUT_S = 2.0
-TIMEOUT_GRACE_S = 1.0  # after which the generator itself gives a request up
-NO_RESPONSE = 0  # in place of a status
+TIMEOUT_GRACE_S = 1.0  # from the time-out of a request until the generator gives it up
+NO_RESPONSE = 0  # counted in place of a status
 
 
 class LoadGenerator:
-    """Requests of many customers at so many a second, with exponential gaps drawn from the seed.
+    """Sends requests of many customers at a mean rate, with exponential intervals from a seed.
 
-    Latency counts from the time at which a request should have been sent, so a stall is seen by all
-    requests that it delays, also by those that are sent late because of it. statuses counts
-    responses by status, NO_RESPONSE among them.
+    The latency of a response with status 200 is measured from the scheduled time of its request.
+    A stall therefore shows in the latency of all requests that it delays, including those that are
+    sent late because of it. `statuses` counts the requests by the status of their response, or as
+    NO_RESPONSE.
+
+    address: host and port. rate: requests per second. first_gateway, gateway_spread: the gateways
+    that a request names as the receivers of its customer's requests.
     """
 
     def __init__(
@@ -44,7 +48,7 @@
         self._open_requests: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
-        """Send for so long, wait for the responses that are due, and close all connections."""
+        """Send for this long, wait for the outstanding responses, and close all connections."""
         loop = asyncio.get_running_loop()
         intended_at = loop.time()
         end = intended_at + seconds
@@ -86,7 +90,7 @@
             self.latency.record_value(max(1, min(MAX_LATENCY_US, latency_us)))
 
     async def _exchange(self, intended_at: float, message: bytes) -> int:
-        """Send one request on an idle or a new connection and return the status."""
+        """Send a request on an idle or new connection; return the status or NO_RESPONSE."""
         connection = None
         try:
             async with asyncio.timeout_at(intended_at + REQUEST_TIMEOUT_S + TIMEOUT_GRACE_S):
--- a/fleetlab/monitors.py
+++ b/fleetlab/monitors.py
@@ -1,4 +1,4 @@
-"""Monitors beside a measurement: health checks of an ingress, and the lab's own loop lag."""
+"""Monitors of a measurement: health checks of an ingress, and the lag of the lab's event loop."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from fleetlab.latency import max_ms, new_histogram
 
 HEALTH_CHECK_INTERVAL_S = 0.02
-MAX_BACKLOG_S = 5.0  # by which health checks may lag behind their schedule
+MAX_BACKLOG_S = 5.0  # maximum delay of the health checks behind their schedule
 LAG_INTERVAL_S = 0.005
 
 _HEALTH_CHECK = b"GET /healthz HTTP/1.1\r\nHost: service.internal\r\n\r\n"
 
 
 class LoopLagMonitor:
-    """The greatest delay of this process's event loop: measured latencies include it."""
+    """Measures the maximum lag of this process's event loop, which measured latencies include."""
 
     def __init__(self) -> None:
         self.max_lag_ms = 0.0
@@ -31,9 +31,9 @@
 
 
 def cpu_pressure_s() -> float:
-    """Return for how long some process has waited for a processor since the machine's start.
+    """Return for how long at least one task has waited for a CPU since the system's start, in s.
 
-    0 where the system does not tell.
+    Return 0 if the system does not report it.
     """
     try:
         first_line = Path("/proc/pressure/cpu").read_text().splitlines()[0]
@@ -43,21 +43,21 @@
 
 
 class HealthMonitor:
-    """Health checks on a schedule; latency counts from when each should have been sent."""
+    """Sends health checks on a schedule; measures latency from the scheduled time of each."""
 
     def __init__(self, address: str) -> None:
         self.latency = new_histogram()
-        self.ready = asyncio.Event()  # set by the first response of 200
+        self.ready = asyncio.Event()  # set by the first response with status 200
         self._address = address
         self._connection: HttpConnection | None = None
 
     @property
     def max_latency_ms(self) -> float | None:
-        """The greatest latency; None before the first response."""
+        """The maximum latency in ms; None before the first response."""
         return max_ms(self.latency)
 
     async def run(self) -> None:
-        """Check until cancelled; a connection that breaks is opened anew."""
+        """Check until cancelled; reconnect after a connection has failed."""
         loop = asyncio.get_running_loop()
         intended_at = loop.time()
         try:
--- a/fleetlab/pairs.py
+++ b/fleetlab/pairs.py
@@ -1,6 +1,6 @@
-"""A model of subsetting in a whole fleet: what a replaced backend or a lost zone costs.
+"""A model of subsetting in a whole fleet: the effects of a replaced backend and a failed zone.
 
-A pair is a gateway and a backend in its subset.
+A pair consists of a gateway and a backend in its subset.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """Counts of a fleet's gateways and backends."""
+    """The numbers of gateways and backends in a fleet."""
 
     gateways: int
     backends: int
@@ -31,30 +31,33 @@
     FleetSize(40, 60),
     FleetSize(200, 200),
     FleetSize(690, 9900),
-    FleetSize(6900, 99_000),  # the plan's
+    FleetSize(6900, 99_000),  # the plan's size
 )
-SCHEMES = ("rank", "subset")  # the former one, and the one in use
+SCHEMES = ("rank", "subset")  # the former scheme and the current one
 
 
 class Scheme(Protocol):
-    """A way for gateways to choose the backends of their subsets."""
+    """A scheme that selects the backends in the subset of each gateway."""
 
     def set_ready(self, backend: int, ready: bool) -> None:
-        """Add a backend to the list, or remove it."""
+        """Add a backend to the list if it is ready, otherwise remove it."""
 
     def subsets(self) -> Iterator[list[int]]:
-        """Yield the backends of each gateway."""
+        """Yield the backends in the subset of each gateway."""
 
 
 class RankScheme:
-    """The former scheme: each gateway takes a window of the sorted list, spread evenly round it."""
+    """The former scheme: the subset of a gateway is a window of the sorted list of backends.
+
+    The windows start at even distances and wrap around the end of the list.
+    """
 
     def __init__(self, gateways: int) -> None:
         self._gateways = gateways
         self._ring: list[int] = []
 
     def set_ready(self, backend: int, ready: bool) -> None:
-        """Add a backend to the ring, or remove it."""
+        """Add a backend to the ring if it is ready, otherwise remove it."""
         if ready:
             insort(self._ring, backend)
         else:
@@ -71,25 +74,25 @@
 
 
 class SubsetScheme:
-    """The scheme in use: the list is divided into partitions, and each of them into subsets."""
+    """The current scheme: the list is divided into partitions, and each of them into subsets."""
 
     def __init__(self, gateways: int, backends: int) -> None:
-        first = Partition(gateways, 0)
-        first.split_to_fit(backends)
-        self.partition_count = first.partition_count
+        first_partition = Partition(gateways, 0)
+        first_partition.split_to_fit(backends)
+        self.partition_count = first_partition.partition_count
         indexes = range(self.partition_count)
         self._partitions = [Partition(gateways, index, self.partition_count) for index in indexes]
         self._shards = [self._make_shards(gateways, index) for index in indexes]
 
     def _make_shards(self, gateways: int, index: int) -> list[Subset]:
-        first = Subset(gateways, index, self.partition_count)
+        first_shard = Subset(gateways, index, self.partition_count)
         return [
             Subset(gateways, index + shard * self.partition_count, self.partition_count)
-            for shard in range(first.shard_count)
+            for shard in range(first_shard.shard_count)
         ]
 
     def set_ready(self, backend: int, ready: bool) -> None:
-        """Add a backend to its partition, or remove it."""
+        """Add a backend to its partition if it is ready, otherwise remove it."""
         partition = next(
             index for index, partition in enumerate(self._partitions) if partition.contains(backend)
         )
@@ -104,16 +107,16 @@
 
 
 class PairFigures(msgspec.Struct):
-    """What one scheme does at one size.
+    """The figures of one scheme at one fleet size.
 
-    Counts are of pairs, of users (the gateways that have a backend in their subset) and of kept
-    backends (the size of a gateway's subset).
+    They count pairs, users (the gateways that have a given backend in their subset) and kept
+    backends (those in the subset of a given gateway).
     """
 
     scheme: str
     gateways: int
     backends: int
-    new_pairs_mean: float  # for each replaced backend, over the whole fleet
+    new_pairs_mean: float  # per replaced backend, in the whole fleet
     new_pairs_most: int
     users_least: int
     users_mean: float
@@ -121,15 +124,16 @@
     kept_least: int
     kept_mean: float
     kept_most: int
-    left_least: float  # share of a gateway's subset that is left when its worst zone fails
+    left_least: float  # least share of a subset that is left if its largest zone fails
 
 
 def measure(
     scheme: str, gateways: int, backends: int, seed: int = 1, replacements: int = 10
 ) -> PairFigures:
-    """Replace backends one by one in a fleet whose backends are spread over the plan's zones.
+    """Return the figures of a fleet of which some backends are replaced, one after another.
 
-    scheme: one of SCHEMES, ValueError for any other. gateways, backends: at least one of each.
+    The backends are distributed evenly over the plan's zones. scheme: one of SCHEMES; ValueError
+    otherwise. gateways, backends: at least 1 each. replacements: the number of replaced backends.
     """
     fleet = _new_scheme(scheme, gateways, backends)
     random = Random(seed)
@@ -163,7 +167,7 @@
             return RankScheme(gateways)
         case "subset":
             return SubsetScheme(gateways, backends)
-    raise ValueError(f"{scheme!r} is not one of {', '.join(SCHEMES)}")
+    raise ValueError(f"unknown scheme {scheme!r}; the schemes are {', '.join(SCHEMES)}")
 
 
 def _collect_pairs(subsets: Iterable[list[int]]) -> frozenset[tuple[int, int]]:
@@ -173,7 +177,7 @@
 
 
 def _count_users(backend_ids: Iterable[int], subsets: Iterable[list[int]]) -> list[int]:
-    """Return, for each listed backend, the number of subsets that it is in."""
+    """Return the number of subsets that contain each backend."""
     users = dict.fromkeys(backend_ids, 0)
     for subset in subsets:
         for backend in subset:
@@ -182,7 +186,7 @@
 
 
 def _share_after_zone_failure(subset: list[int], zones: dict[int, int]) -> float:
-    """Return the share of a subset that is left when the zone with most of it fails."""
+    """Return the share of a subset that is left if the zone with most of its backends fails."""
     by_zone = np.bincount([zones[backend] for backend in subset], minlength=ZONES)
     return float(1 - by_zone.max() / len(subset))
 
@@ -190,18 +194,21 @@
 def _replace_backends(
     fleet: Scheme,
     backend_ids: list[int],
-    before: frozenset[tuple[int, int]],
+    pairs_before: frozenset[tuple[int, int]],
     random: Random,
     replacements: int,
 ) -> list[int]:
-    """Replace backends one by one, in the list too; return the number of new pairs of each."""
+    """Replace random backends one after another, in the fleet and in `backend_ids`.
+
+    Return the number of new pairs of each replacement.
+    """
     new_pairs = []
     for _ in range(replacements):
         index = random.randrange(len(backend_ids))
         fleet.set_ready(backend_ids[index], False)
         backend_ids[index] = random.getrandbits(48)
         fleet.set_ready(backend_ids[index], True)
-        after = _collect_pairs(fleet.subsets())
-        new_pairs.append(len(after - before))
-        before = after
+        pairs_after = _collect_pairs(fleet.subsets())
+        new_pairs.append(len(pairs_after - pairs_before))
+        pairs_before = pairs_after
     return new_pairs
--- a/fleetlab/path_proxy.py
+++ b/fleetlab/path_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback whose path fails: it delays, falls silent, resets, or ends one direction."""
+"""A loopback proxy with faults of its path: delay, silence, resets and half-closed connections."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from fleetlab.stand_in import StandInServer, reset_connection, split_address
 
-MAX_READ_BYTES = 64 * 1024
+MAX_READ_BYTES = 64 * 1024  # per read
 
 
 class PathFault(Enum):
-    """What befalls the connections through a proxy."""
+    """The fault that affects the connections through a proxy."""
 
     NONE = "none"
-    DELAYED = "delayed"  # each piece comes later
-    SILENT = "silent"  # nothing comes through; connections of that time are reset at its end
-    RESET = "reset"  # open connections are reset, and so are new ones
-    HALF_CLOSED = "half closed"  # what the target sends ends; what is sent to it goes on
+    DELAYED = "delayed"  # data is forwarded after a delay
+    SILENT = "silent"  # nothing is forwarded; open connections are reset at its end
+    RESET = "reset"  # open connections and new ones are reset
+    HALF_CLOSED = "half closed"  # only the direction to the target is forwarded
 
 
 class PathProxy(StandInServer):
     """Forwards connections to one target.
 
     Attributes:
-        address: host and port at which it listens.
-        delay_s: how much later each piece comes while the path is delayed.
+        address: host and port on which the proxy listens; empty before start().
+        delay_s: delay of the data of each read while the fault is DELAYED.
     """
 
     def __init__(self, target: str, delay_s: float) -> None:
@@ -39,11 +39,15 @@
         self._clients: dict[asyncio.StreamWriter, None] = {}
 
     async def start(self) -> None:
-        """Listen at an address of the system's choice."""
+        """Listen on a loopback port chosen by the system."""
         self.address = await self._listen()
 
     def set_fault(self, fault: PathFault) -> None:
-        """Let the path fail from now on, instead of as before."""
+        """Replace the current fault of the path; NONE ends it.
+
+        HALF_CLOSED sends the end of the stream to the clients of open connections. Clients that
+        connect later receive no data and no end of the stream.
+        """
         was_silent = self._fault is PathFault.SILENT
         self._fault = fault
         self._fault_changed.set()
@@ -75,14 +79,16 @@
             del self._clients[writer]
             target_writer.close()
 
-    async def _forward(self, source: asyncio.StreamReader, to: asyncio.StreamWriter) -> None:
-        """Forward one direction until it ends."""
+    async def _forward(
+        self, source: asyncio.StreamReader, destination: asyncio.StreamWriter
+    ) -> None:
+        """Forward the data of one direction until its stream ends."""
         while data := await source.read(MAX_READ_BYTES):
             if self._fault is PathFault.DELAYED:
                 await asyncio.sleep(self.delay_s)
             while self._fault is PathFault.SILENT:
                 await self._fault_changed.wait()
-            if to in self._clients and self._fault is PathFault.HALF_CLOSED:
+            if destination in self._clients and self._fault is PathFault.HALF_CLOSED:
                 continue
-            to.write(data)
-            await to.drain()
+            destination.write(data)
+            await destination.drain()
--- a/fleetlab/process_stats.py
+++ b/fleetlab/process_stats.py
@@ -1,4 +1,4 @@
-"""What processes use, read from /proc, and the limit on the memory that a run may take."""
+"""Memory and CPU time of processes, read from /proc, and limits on the memory of a run."""
 
 from __future__ import annotations
 
@@ -8,51 +8,52 @@
 
 MEMINFO = Path("/proc/meminfo")
 KB_PER_MB = 1024
-MAX_MEMORY_SHARE = 1 / 2  # of the machine's memory, for a run
-MIN_AVAILABLE_SHARE = 1 / 8  # of the machine's memory, left by all programs
+MAX_MEMORY_SHARE = 1 / 2  # of the machine's memory, used by a run
+MIN_AVAILABLE_SHARE = 1 / 8  # of the machine's memory, available while a run lasts
 
-# Of /proc/PID/stat, counted behind the name of the command.
+# Indexes of fields in /proc/PID/stat, counted after the name of the command.
 _USER_TIME_FIELD = 11
 _SYSTEM_TIME_FIELD = 12
 
 
 class MemoryLimitError(RuntimeError):
-    """The run would take more of the machine's memory than it may, or has."""
+    """The run uses, or would use, more of the machine's memory than the limits allow."""
 
 
 def rss_mb(pid: int) -> float:
-    """Return the megabytes that are resident now; OSError if the process has gone."""
+    """Return the resident memory of a process in MB; OSError if it has exited."""
     return _read_field_mb(Path(f"/proc/{pid}/status"), "VmRSS")
 
 
 def peak_mb(pid: int) -> float:
-    """Return the most megabytes ever resident; OSError if the process has gone."""
+    """Return the peak resident memory of a process in MB; OSError if it has exited."""
     return _read_field_mb(Path(f"/proc/{pid}/status"), "VmHWM")
 
 
 def cpu_s(pid: int) -> float:
-    """Return the seconds of processor time, user and system; OSError if the process has gone."""
+    """Return the user and system CPU time of a process in s; OSError if it has exited."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[_USER_TIME_FIELD]) + int(fields[_SYSTEM_TIME_FIELD])
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
 def machine_mb() -> float:
-    """Return the megabytes of memory in the machine."""
+    """Return the total memory of the machine in MB."""
     return _read_field_mb(MEMINFO, "MemTotal")
 
 
 def check_memory(pids: Iterable[int], estimated_mb: float = 0.0) -> None:
-    """Raise MemoryLimitError if this process, those given and what is expected take too much.
+    """Raise MemoryLimitError if a run uses too much memory, or would with a further `estimated_mb`.
 
-    Too much is more than half of the machine's memory, or leaving less than an eighth of it free.
+    Memory is counted for this process and the given ones. The limits: they use at most half of the
+    machine's memory, and at least an eighth of it remains available.
     """
     used_mb = estimated_mb
     for pid in (os.getpid(), *pids):
         try:
             used_mb += rss_mb(pid)
         except OSError:
-            continue  # it has ended
+            continue  # the process has exited
     total_mb = machine_mb()
     if used_mb > total_mb * MAX_MEMORY_SHARE:
         raise MemoryLimitError(
@@ -61,7 +62,7 @@
     available_mb = _read_field_mb(MEMINFO, "MemAvailable")
     if available_mb - estimated_mb < total_mb * MIN_AVAILABLE_SHARE:
         raise MemoryLimitError(
-            f"only {available_mb:.0f} MB of the machine's {total_mb:.0f} MB are free"
+            f"only {available_mb:.0f} MB of the machine's {total_mb:.0f} MB are available"
         )
 
 
--- a/fleetlab/processes.py
+++ b/fleetlab/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a run: bounded in number, and all ended by their id, whatever ends the run."""
+"""The child processes of a run: limited in number, and terminated by id however the run ends."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 MAX_PROCESSES = 300
 TERMINATION_GRACE_S = 6.0  # from SIGTERM to SIGKILL
-MAX_OUTPUT_LINES = 500
+MAX_OUTPUT_LINES = 500  # kept of each output of a process
 
 
 class ChildProcess:
-    """One process; its output is read all the time, and the last lines of it are kept."""
+    """A process whose output is read continuously; the last lines of it are kept."""
 
     def __init__(self, process: Process) -> None:
         self.process = process
@@ -33,7 +33,7 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has not exited yet."""
         return self.process.returncode is None
 
     @staticmethod
@@ -42,37 +42,37 @@
             lines.append(line)
 
     async def wait(self) -> None:
-        """Wait for the end of the process and of its output."""
+        """Wait until the process has exited and all of its output has been read."""
         await self.process.wait()
         await asyncio.gather(*self._readers, return_exceptions=True)
 
 
 class ChildProcesses:
-    """Starts processes of this Python interpreter; `terminate_all` leaves none."""
+    """Starts processes of this Python interpreter; `terminate_all` leaves none running."""
 
     def __init__(self) -> None:
         self._children: list[ChildProcess] = []
 
     @property
     def pids(self) -> list[int]:
-        """The ids of those that are running."""
+        """The ids of the processes that are running."""
         return [child.pid for child in self._children if child.running]
 
     async def start(
         self, module: str, env: Mapping[str, str] | None = None, first_input: bytes = b""
     ) -> ChildProcess:
-        """Start `python -m module` and write these bytes to its standard input.
+        """Start `python -m module`, and write `first_input` to its standard input.
 
-        Standard input stays open as long as the run: a process that reads it notices the run's end.
-        Raise RuntimeError beyond the limit on processes.
+        Standard input remains open until the run ends, so a child that reads it detects that end.
+        Raise RuntimeError if the maximum number of processes is running.
         """
         if len(self.pids) >= MAX_PROCESSES:
-            raise RuntimeError(f"{MAX_PROCESSES} processes are enough")
+            raise RuntimeError(f"the limit of {MAX_PROCESSES} processes is reached")
         starting = asyncio.ensure_future(_spawn(module, env or {}))
         try:
             process = await asyncio.shield(starting)
         except asyncio.CancelledError:
-            # The process may be running already, and has to be ended like the others.
+            # The process may already be running; it is kept, to be terminated with the others.
             self._children.append(ChildProcess(await starting))
             raise
         child = ChildProcess(process)
@@ -82,7 +82,7 @@
         return child
 
     async def terminate_all(self) -> None:
-        """Terminate each process by its id, and kill those that are left after the grace period."""
+        """Terminate each process by its id; kill those still running after the grace period."""
         for child in self._children:
             if child.running:
                 child.process.terminate()
@@ -109,5 +109,5 @@
         stdout=PIPE,
         stderr=PIPE,
         env={**os.environ, **env},
-        start_new_session=True,  # an interrupt at the terminal is this process's to handle
+        start_new_session=True,  # Ctrl-C in the terminal interrupts only this process
     )
--- a/fleetlab/real.py
+++ b/fleetlab/real.py
@@ -1,4 +1,4 @@
-"""One real ingress, as a process, before stand-in servers of the plan's size."""
+"""The measurement of one real ingress process with stand-in servers of the plan's size."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from fleetlab.real_session import RealSession
 from fleetlab.results import Figures
 
-ESTIMATED_RUN_MB = 800.0  # of ingress, servers and load, to check memory beforehand
+ESTIMATED_RUN_MB = 800.0  # of ingress, servers and load, for the memory check before a run
 BASELINE_BACKENDS = 200
 BASELINE_MAX_SECONDS = 3.0
 
@@ -18,12 +18,13 @@
 async def measure(run: RealRun) -> Figures:
     """Return the figures of one ingress.
 
-    A figure is None if it could not be measured. Where the ingress is never ready, only memory,
-    stalls and the bytes that discovery has written are measured. These bytes count from when the
-    ingress was ready, or from its start if it never was, and are those handed to the system: of a
-    list that is not read to its end they are more than what was read.
-    Raise RuntimeError if the ingress ends, TimeoutError if it does not serve in time, and
-    MemoryLimitError if the machine's memory doesn't suffice.
+    A figure is None if it could not be measured. If the ingress never becomes ready, the figures of
+    requests are left out, and its memory, CPU time, stalls of health checks, polls and the bytes
+    written by discovery are measured. These bytes are counted from the time at which the ingress
+    was ready, or began to listen if it never was ready. They are bytes handed to the system: if the
+    ingress does not read a list to its end, they are more than the bytes that it has read.
+    Raise RuntimeError if the ingress exits before it listens, TimeoutError if it does not listen in
+    time, and MemoryLimitError if the machine's memory doesn't suffice.
     """
     check_memory([], ESTIMATED_RUN_MB)
     async with start_environment(run) as environment:
@@ -35,9 +36,10 @@
 
 
 async def measure_with_baseline(run: RealRun) -> Figures:
-    """Return the figures of a run and, as peak_over_200_mb, what the long list adds to peak memory.
+    """Return the figures of a run, compared with those of an earlier run with 200 listed backends.
 
-    That is compared with a run with 200 listed backends, which is made first.
+    peak_200_mb is the peak memory of that earlier run, which is made first. peak_over_200_mb is the
+    peak memory that the longer list adds.
     """
     baseline_run = replace(
         run,
--- a/fleetlab/real_environment.py
+++ b/fleetlab/real_environment.py
@@ -1,4 +1,4 @@
-"""The stand-in servers before which one real ingress runs."""
+"""The stand-in servers of a run with one real ingress."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from fleetlab.site import endpoint_entries
 from fleetlab.versioned_list import JsonObject
 
-BACKEND_PORTS = 128  # that the listed backends share
+BACKEND_PORTS = 128  # shared by the listed backends
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,12 +23,12 @@
 
     backends: int  # listed by discovery
     mode: ResponseMode = ResponseMode.GOOD
-    seconds: float = 10.0  # to become ready in, and of load after that
+    seconds: float = 10.0  # maximum time until ready; also duration of the load without the drain
     seed: int = 0
-    index: int = 0  # of the ingress in the fleet
-    known: int = 0  # backends listed in its configuration
-    rate: float = REQUESTS_PER_S / INGRESSES  # requests a second
-    changes_per_s: float = 1.0  # of the list
+    index: int = 0  # of the ingress among the gateways
+    known: int = 0  # backends listed in the configuration of the ingress
+    rate: float = REQUESTS_PER_S / INGRESSES  # requests per second
+    changes_per_s: float = 1.0  # of the endpoint list
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,13 +38,13 @@
     discovery: DiscoveryServer
     counter: CounterServer
     backends: BackendServers
-    direct_backend: BackendServers  # a port that only the load without an ingress goes to
+    direct_backend: BackendServers  # receives only the load that bypasses the ingress
     entries: list[JsonObject]
 
 
 @asynccontextmanager
 async def start_environment(run: RealRun) -> AsyncIterator[Environment]:
-    """Start the servers; all are stopped whatever happens."""
+    """Start the servers; stop them at the end, also after an error."""
     backends = BackendServers(BACKEND_PORTS)
     direct_backend = BackendServers(1)
     counter = CounterServer()
@@ -54,7 +54,7 @@
     entries = endpoint_entries(run.backends, backends.endpoints, run.seed)
     discovery = DiscoveryServer(entries, run.mode)
     await discovery.start()
-    # The list is the lab's own: collecting it would show in the latency of the ingress.
+    # Garbage collection of the lab's own list would show in the latency of the ingress.
     gc.collect()
     gc.freeze()
     try:
--- a/fleetlab/real_session.py
+++ b/fleetlab/real_session.py
@@ -1,4 +1,4 @@
-"""One run of a real ingress in progress: its process, the load on it and what is measured."""
+"""A run with one real ingress: its process, the load on it and the measurement."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 from fleetlab.results import Figures
 from fleetlab.site import config_text
 
-START_TIMEOUT_S = 10.0  # for the process to serve
+START_TIMEOUT_S = 10.0  # for the ingress to listen
 START_POLL_S = 0.01
-DRAIN_WATCH_S = 6.0  # during which requests to a draining port are watched
-DRAIN_QUIET_S = 1.0  # without requests, at the end of that, for them to have stopped
+DRAIN_WATCH_S = 6.0  # for which the requests to a draining port are counted
+DRAIN_QUIET_S = 1.0  # without requests, at the end of DRAIN_WATCH_S, to count as stopped
 BUSIEST_PORT_WATCH_S = 1.0  # to find the port with most requests
-LOAD_WARM_UP_S = 0.3  # of load, before anything is counted
+LOAD_WARM_UP_S = 0.3  # of load, before the drain is measured
 
 _SERVING = re.compile(rb"serving: name=\S* address=([\d.]+:\d+)")
 
 
 @dataclass(frozen=True, slots=True)
 class _Usage:
-    """What the ingress has used at one time."""
+    """The resources used by the ingress until one time."""
 
     at_s: float
     cpu_s: float
@@ -43,7 +43,7 @@
 
 
 class RealSession:
-    """One run in progress: the process of the ingress, the load on it and the monitors."""
+    """A run in progress: the process of the ingress, the load on it and the monitors."""
 
     def __init__(self, run: RealRun, environment: Environment) -> None:
         self._run = run
@@ -54,7 +54,7 @@
         self._figures: Figures = {}
 
     async def stop(self) -> None:
-        """Cancel the tasks and end the process."""
+        """Cancel the tasks and terminate the process."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -75,7 +75,7 @@
             ready = await self._wait_until_ready(health)
             self._figures["ready_s"] = self._loop.time() - started_at if ready else None
             if ready:
-                before = self._usage(ingress)  # without what it has cost to become ready
+                before = self._usage(ingress)  # excludes the cost of becoming ready
                 await self._generate_load(address)
             check_memory(self._processes.pids)
             self._add_usage_figures(ingress, before, health)
@@ -100,10 +100,10 @@
         return True
 
     async def _generate_load(self, address: str) -> None:
-        """Load the ingress, and beside it one backend directly, while the list changes.
+        """Generate load on the ingress, and directly on one backend, while the list changes.
 
-        The direct load has the same rate at the same time: its latency is what client, backend and
-        machine take.
+        The direct load has the same rate at the same time. Its latency is the part that is due to
+        client, backend and machine.
         """
         run = self._run
         readable = run.mode.readable
@@ -118,20 +118,20 @@
         )
         lag = LoopLagMonitor()
         duration_s = run.seconds + DRAIN_WATCH_S
-        sending = self._start_task(load.run(duration_s))
-        sending_directly = self._start_task(direct_load.run(duration_s))
+        load_task = self._start_task(load.run(duration_s))
+        direct_load_task = self._start_task(direct_load.run(duration_s))
         self._start_task(lag.run())
         await asyncio.sleep(LOAD_WARM_UP_S)
         if readable:
             self._figures |= await _measure_drain(
                 self._environment.discovery, self._environment.backends
             )
-        await sending
-        await sending_directly
+        await load_task
+        await direct_load_task
         self._add_load_figures(load, direct_load, lag)
 
     async def _resize_backends(self) -> None:
-        """Change the sizes of backends, one at a time: a change that moves nothing else."""
+        """Change the capacity hints of random backends, one at a time; nothing else changes."""
         random = Random(self._run.seed)
         due_at = self._loop.time()
         while True:
@@ -188,14 +188,14 @@
 
 
 async def _wait_for_address(ingress: ChildProcess) -> str:
-    """Return where the ingress serves; RuntimeError with its last line if it ends instead."""
+    """Return the address of the ingress; RuntimeError with its last output if it exits instead."""
     async with asyncio.timeout(START_TIMEOUT_S):
         while True:
             for line in list(ingress.stderr_lines):
                 if (found := _SERVING.search(line)) is not None:
                     return found[1].decode()
             if not ingress.running:
-                raise RuntimeError(f"the ingress has ended: {_last_line(ingress)}")
+                raise RuntimeError(f"the ingress has exited: {_last_line(ingress)}")
             await asyncio.sleep(START_POLL_S)
 
 
@@ -206,10 +206,10 @@
 
 
 def _added_ms(p99_ms: float | None, direct_p99_ms: float | None) -> float | None:
-    """Return what the ingress adds to the latency.
+    """Return the latency that the ingress adds, in ms.
 
-    None where the direct way alone takes longer than the plan lets the ingress add: what is added
-    can't be told apart then.
+    Return None if the direct latency alone exceeds the plan's limit on the added latency: the added
+    part can't be distinguished then.
     """
     if p99_ms is None or direct_p99_ms is None or direct_p99_ms > MAX_ADDED_P99_MS:
         return None
@@ -217,10 +217,11 @@
 
 
 async def _measure_drain(discovery: DiscoveryServer, backends: BackendServers) -> Figures:
-    """Set all backends at the busiest port to draining, and watch for how long requests go there.
+    """Set all backends of the busiest port to draining, and count the requests that follow.
 
-    in_force_s counts from the change to the last request, None if they never stopped;
-    leaving_entries is the number of entries that the change holds, as many share a port.
+    in_force_s is the time from the change to the last request. It is None if the requests did not
+    stop, or if no port received any. leaving_entries is the number of changed entries, since many
+    share a port. sent_to_leaving is the number of requests after the change.
     """
     loop = asyncio.get_running_loop()
     counts = backends.request_counts
--- a/fleetlab/results.py
+++ b/fleetlab/results.py
@@ -1,4 +1,4 @@
-"""Results as JSON lines: what was run, where and at which commit, and the measured figures."""
+"""Results as JSON lines: command, machine and commit of each point, and its measured figures."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 GIT_TIMEOUT_S = 10
 
-Figures = dict[str, float | None]  # by name, which ends with the unit; None: could not be measured
+Figures = dict[str, float | None]  # by name, which ends in the unit; None: could not be measured
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """Where a result was measured."""
+    """The machine on which a result was measured."""
 
     cores: int
     memory_mb: int
@@ -39,16 +39,16 @@
 
 
 class ResultError(ValueError):
-    """A file of results can't be read; the message names file and line."""
+    """A line of a results file is invalid; the message gives the file and the line number."""
 
 
 def describe_machine() -> Machine:
-    """Return the cores, memory and Python of this machine."""
+    """Return the number of cores, the memory and the Python version of this machine."""
     return Machine(os.cpu_count() or 1, round(machine_mb()), platform.python_version())
 
 
 def current_commit() -> str:
-    """Return the commit of the code, with + if files differ from it; empty if it is not known."""
+    """Return the commit of the code, with + if tracked files differ; empty if it is unknown."""
     try:
         commit = _git("rev-parse", "HEAD")
         changed = _git("status", "--porcelain", "--untracked-files=no")
@@ -58,7 +58,7 @@
 
 
 def _git(*arguments: str) -> str:
-    done = subprocess.run(
+    completed = subprocess.run(
         ["git", *arguments],
         cwd=Path(__file__).parent,
         capture_output=True,
@@ -66,18 +66,18 @@
         timeout=GIT_TIMEOUT_S,
         check=True,
     )
-    return done.stdout.strip()
+    return completed.stdout.strip()
 
 
 def append_result(path: Path, result: Result) -> None:
-    """Add one line to a file of results; OSError if it can't be written."""
+    """Append a result to a file as one line; raise OSError if it can't be written."""
     append_line(path, result)
 
 
 def read_results(path: Path) -> list[Result]:
-    """Return the results in a file, or in all *.jsonl of a folder.
+    """Return the results in a file, or in all *.jsonl files of a folder.
 
-    Raise ResultError at the first line that is no result.
+    Raise ResultError at the first line that is not a valid result.
     """
     files = sorted(path.glob("*.jsonl")) if path.is_dir() else [path]
     return [result for file in files for result in _read_file(file)]
--- a/fleetlab/site.py
+++ b/fleetlab/site.py
@@ -1,4 +1,4 @@
-"""Configurations and endpoint lists of an invented site."""
+"""Configurations and endpoint lists of a fictitious site."""
 
 from __future__ import annotations
 
@@ -45,9 +45,9 @@
 ) -> str:
     """Return the configuration of one ingress as JSON text; times are in ms.
 
-    The ingress listens on a loopback port of the system's choice. discovery, counter: host and
-    port; without counter there is none. burst: units, and units a second, of the one plan.
-    known: entries of the endpoint list as last seen.
+    The ingress listens on a loopback port chosen by the system. discovery, counter: host and port;
+    an empty text means no counter. burst: the burst of the only plan in units, and its quota
+    in units per second. known: entries of the last known endpoint list.
     """
     config: JsonObject = {
         "name": f"n{index}",
@@ -102,7 +102,7 @@
 
 
 def endpoint_entries(count: int, endpoints: Sequence[str], seed: int = 0) -> list[JsonObject]:
-    """Return so many entries of an endpoint list, with the given endpoints in turn."""
+    """Return `count` entries of an endpoint list, with the given endpoints in turn."""
     random = Random(seed)
     return [
         {
--- a/fleetlab/slopes.py
+++ b/fleetlab/slopes.py
@@ -1,4 +1,4 @@
-"""Straight lines through the figures of each axis, and what they predict for the plan's size."""
+"""Linear fits of the figures of each axis, and their predictions for the plan's size."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 MIN_FIT_POINTS = 2
 MIN_VERDICT_POINTS = 4
-FIT_TOLERANCE = 1e-9  # error of a fit
+FIT_TOLERANCE = 1e-9  # numerical error of a fit
 
 
 class Verdict(StrEnum):
-    """What the line and the measured points say about the limit."""
+    """Whether the line and the measured points comply with the limit."""
 
     MET = "met"
     MISSED = "missed"
@@ -26,18 +26,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """The line of one figure over one axis, in the units of the figure and of the axis."""
+    """The fitted line of a figure over an axis, in the units of the figure and of the axis."""
 
     axis: str
     figure: str
-    points: int  # different sizes with a measured value
-    unmeasured: int  # results without one
+    points: int  # number of different sizes with a measured value
+    unmeasured: int  # number of results without a measured value
     slope: float
     intercept: float
-    worst_residual: float  # the greatest distance of a result from the line
+    worst_residual: float  # maximum distance of a result from the line
     at_plan: float  # the line's value at the plan's size
     limit: float | None
-    beyond: float  # the plan's size over the last measured point: above 1 it is an extrapolation
+    beyond: float  # the plan's size divided by the largest measured size; above 1: extrapolated
     verdict: Verdict
 
 
@@ -50,12 +50,13 @@
 
 
 def fit(results: Iterable[Result]) -> list[Slope]:
-    """Return a slope for each figure of each axis with at least two different measured sizes.
+    """Return a slope for each figure of each planned axis with at least two measured sizes.
 
-    A figure has missed its limit if a point measured up to the plan's size is beyond it. Otherwise
-    a verdict needs a limit, four points, a measured value at each point up to that size,
-    and a limit further from the line than the worst residual. A line that falls promises no less
-    than the greatest value measured up to that size.
+    A figure misses its limit if a value measured up to the plan's size exceeds the limit. Otherwise
+    it meets or misses the limit only with at least four different sizes, a value in each result up
+    to the plan's size, and a prediction that equals the limit or differs from it by at least the
+    worst residual. The prediction of a falling line is at least the maximum value measured up to
+    the plan's size.
     """
     series: dict[tuple[str, str], list[_Observation]] = {}
     for result in results:
@@ -71,7 +72,7 @@
 
 
 def _fit_figure(axis: str, figure: str, observations: Sequence[_Observation]) -> Slope | None:
-    """Return the slope of one figure; None where there are too few points or no planned size."""
+    """Return the slope of one figure; None without enough points or without a planned size."""
     measured = [o for o in observations if o.value is not None]
     points = len({observation.size for observation in measured})
     plan_size = PLAN_SIZES.get(axis)
--- a/fleetlab/stand_in.py
+++ b/fleetlab/stand_in.py
@@ -1,4 +1,4 @@
-"""The base of the stand-in servers: their listeners and the tasks of their connections."""
+"""The base class of the stand-in servers: their listeners and the tasks of their connections."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from contextlib import suppress
 
 LOOPBACK = "127.0.0.1"
-# Of TCP_INFO: the milliseconds since the last data came, and how much is read to get there.
+# The field tcpi_last_data_recv of TCP_INFO, at an offset of 52 bytes: ms since data was received.
 TCP_INFO_LAST_DATA_RECV = struct.Struct("=52xI")
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closing sends RST
+LINGER_RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: closing sends a reset
 
 
 class StandInServer:
-    """A server on loopback whose connections all end with it.
+    """A server on loopback that closes all of its connections when it stops.
 
-    A subclass listens with `_listen` and handles one connection in `_serve`.
+    A subclass listens with `_listen` and handles each connection in `_serve`.
     """
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         self._connection_tasks: set[asyncio.Task[None]] = set()
 
     async def stop(self) -> None:
-        """Close all ports and all connections."""
+        """Close all listeners and connections."""
         for listener in self._listeners:
             listener.close()
         for task in list(self._connection_tasks):
@@ -33,7 +33,7 @@
         await asyncio.gather(*self._connection_tasks, return_exceptions=True)
 
     async def _listen(self, sock: socket.socket | None = None) -> str:
-        """Listen on a bound socket, or on a port of the system's choice; return host and port."""
+        """Listen on a bound socket, or on a port chosen by the system; return host and port."""
         if sock is None:
             listener = await asyncio.start_server(self._run_connection, LOOPBACK, 0)
         else:
@@ -50,9 +50,9 @@
         try:
             await self._serve(reader, writer)
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError):
-            pass  # the peer has left, or sent what is no message
+            pass  # the peer has closed the connection or sent an invalid message
         except asyncio.CancelledError:
-            pass  # by stop(): asyncio's own callback would log it as an error
+            pass  # cancelled by stop(); asyncio's callback would log this as an error
         finally:
             self._connection_tasks.discard(task)
             self._close_connection(writer)
@@ -66,7 +66,7 @@
 
 
 def reset_connection(transport: asyncio.Transport) -> None:
-    """End a connection with a reset."""
+    """Close a connection with a reset."""
     sock: socket.socket | None = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -74,9 +74,10 @@
 
 
 def last_data_age_s(transport: asyncio.Transport) -> float:
-    """Return for how long the last bytes that came had lain there, by the system's account.
+    """Return the time in s since the system last received data on a connection.
 
-    A loop that is late reads and accepts late; this tells when the bytes came. 0 if it isn't told.
+    A lagging event loop reads and accepts late; this value shows when the data arrived. Return 0 if
+    the system does not report it.
     """
     sock: socket.socket | None = transport.get_extra_info("socket")
     if sock is None:
@@ -90,10 +91,10 @@
 
 
 def write_immediately(transport: asyncio.Transport, data: bytes, half_close: bool = False) -> None:
-    """Hand bytes to the system now, and the end of the connection behind them if that is asked.
+    """Pass data to the system now, followed by the end of the stream if `half_close` is set.
 
-    A transport does both only at the end of the loop's turn, which may be late. Bytes that the
-    system does not take are left to the transport.
+    A transport does both only at the end of the loop's iteration, which may be late. Data that the
+    system does not accept is left to the transport, and the end of the stream is then not sent.
     """
     sock: socket.socket | None = transport.get_extra_info("socket")
     if sock is not None and not transport.get_write_buffer_size() and not transport.is_closing():
@@ -107,12 +108,12 @@
 
 
 def format_address(socket_name: tuple[str, int]) -> str:
-    """Return host and port as the configuration writes them."""
+    """Return an address as host:port, the form used in the configuration."""
     host, port = socket_name
     return f"{host}:{port}"
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of an address as the configuration writes it."""
+    """Return host and port of an address given as host:port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/fleetlab/sweep.py
+++ b/fleetlab/sweep.py
@@ -1,4 +1,4 @@
-"""One point of a sweep: synthetic ingresses before a discovery and a counter of their own."""
+"""One point of a sweep: synthetic ingresses with a discovery server and a counter server."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 from fleetlab.sweep_figures import Measurement, compute_figures
 from fleetlab.synthetic_messages import SyntheticReport, SyntheticSpec
 
-READY_TIMEOUT_S = 30.0  # until all hold a list and have served their preloaded customers
+READY_TIMEOUT_S = 30.0  # until all ingresses have a list and have served their preloaded customers
 READY_POLL_S = 0.1
 MEASURE_POLL_S = 0.5
-REPORT_MARGIN_S = 1.5  # longer than the time between reports
-PROCESS_MARGIN_S = 30.0  # after which a forgotten process ends by itself
+REPORT_MARGIN_S = 1.5  # longer than the interval between reports
+PROCESS_MARGIN_S = 30.0  # beyond the end of the run, after which an orphaned process exits
 DEFAULT_BACKENDS = 200  # on the other axes
 INGRESSES_PER_PROCESS = 40
 
-# Rough sizes, to check memory beforehand.
+# Estimated memory, for the check before a run.
 ESTIMATED_ENTRY_KB = 2.0
 ESTIMATED_CUSTOMER_KB = 2.0
 ESTIMATED_CLASS_KB = 60.0
 ESTIMATED_INGRESS_MB = 2.0
 ESTIMATED_PROCESS_MB = 60.0
 
-# Synthetic ingresses make no attempts, so nobody has to listen here.
+# Synthetic ingresses do not connect to backends, so no server has to listen here.
 UNUSED_ENDPOINTS = ("127.0.0.1:9",)
 
 
@@ -49,12 +49,12 @@
     preloaded_customers: int = 0
     classes: int = 3
     changes_per_s: float = 0.0
-    rate: float = 20.0  # requests a second at each ingress
-    burst: float = 1000.0  # units of a customer's plan
+    rate: float = 20.0  # requests per second at each ingress
+    burst: float = 1000.0  # of a customer's plan: units, and units per second
 
     @property
     def estimated_mb(self) -> float:
-        """The memory that the point takes, roughly."""
+        """The estimated memory of the point, in MB."""
         ingress_kb = (
             self.backends * ESTIMATED_ENTRY_KB
             + self.preloaded_customers * ESTIMATED_CUSTOMER_KB
@@ -82,14 +82,14 @@
         case "changes":
             return Point(changes_per_s=size, ingresses=4)
         case "counter":
-            # The burst is so small that each request is a counter call or two.
+            # The burst is so small that each request causes one or two counter calls.
             return Point(rate=size, burst=8.0)
-    raise ValueError(f"{axis} is no axis")
+    raise ValueError(f"unknown axis {axis}")
 
 
 @dataclass(frozen=True, slots=True)
 class _Fleet:
-    """The processes of synthetic ingresses and the servers before which they run."""
+    """The processes of synthetic ingresses and the discovery server that they use."""
 
     discovery: DiscoveryServer
     processes: ChildProcesses
@@ -108,7 +108,7 @@
 
 
 def _read_reports(child: ChildProcess) -> list[SyntheticReport]:
-    """Return the reports of a process, without what else it has written."""
+    """Return the reports of a process, without its other output."""
     return [
         msgspec.json.decode(line, type=SyntheticReport)
         for line in list(child.stdout_lines)
@@ -122,12 +122,13 @@
 
 
 async def measure(axis: str, size: int, seconds: float, seed: int) -> Figures:
-    """Return the figures of one point, measured for so long once all ingresses hold the list.
+    """Return the figures of one point, measured for `seconds` once all ingresses are ready.
 
-    Per ingress: held_mb and peak_mb beyond an empty process, control_cpu_percent of a core (without
-    the batches of requests), control_bytes_per_s read from discovery and counter. A figure is None
-    if it could not be measured, as no list was held. Raise MemoryLimitError if the machine's memory
-    doesn't suffice.
+    The measurement also starts if they are not ready in time. Per ingress: held_mb and peak_mb
+    beyond a process without ingresses, control_cpu_percent of a core (without the batches of
+    requests), control_bytes_per_s received from discovery and counter. A figure is None if it could
+    not be measured, for example because no list was received. Raise MemoryLimitError if the
+    machine's memory doesn't suffice.
     """
     point = make_point(axis, size)
     check_memory([], point.estimated_mb)
@@ -145,7 +146,7 @@
 
 @asynccontextmanager
 async def _start_fleet(point: Point, seconds: float, seed: int) -> AsyncIterator[_Fleet]:
-    """Start servers and ingresses; all are ended whatever happens."""
+    """Start servers and ingresses; stop them at the end, also after an error."""
     discovery = DiscoveryServer(endpoint_entries(point.backends, UNUSED_ENDPOINTS, seed))
     counter = CounterServer()
     processes = ChildProcesses()
@@ -175,7 +176,7 @@
 async def _start_processes(
     processes: ChildProcesses, template: SyntheticSpec, ingresses: int
 ) -> list[ChildProcess]:
-    """Start as many processes as these ingresses need."""
+    """Start as many processes as this number of ingresses needs."""
     children = []
     for first_index in range(0, ingresses, INGRESSES_PER_PROCESS):
         spec = msgspec.structs.replace(
@@ -191,7 +192,7 @@
 
 
 async def _wait_until_ready(fleet: _Fleet) -> None:
-    """Wait until all ingresses are ready, a process has ended or the time is up."""
+    """Wait until all ingresses are ready, a process has exited or the time-out has elapsed."""
     loop = asyncio.get_running_loop()
     end = loop.time() + READY_TIMEOUT_S
     while loop.time() < end and not fleet.ready and fleet.running:
@@ -200,7 +201,11 @@
 
 
 async def _restart_backends(fleet: _Fleet, per_s: float, seed: int) -> None:
-    """Let backends start anew, one at a time; the time is in the entry, so its delay is seen."""
+    """Report restarts of random backends in the endpoint list, one at a time.
+
+    Each entry contains the time of the restart, from which the ingresses measure the delay of the
+    notification.
+    """
     loop = asyncio.get_running_loop()
     random = Random(seed)
     due_at = loop.time()
--- a/fleetlab/sweep_figures.py
+++ b/fleetlab/sweep_figures.py
@@ -1,4 +1,4 @@
-"""The figures of one point of a sweep, from the reports of its processes."""
+"""The figures of one point of a sweep, computed from the reports of its processes."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """What was seen of one point in the measured time."""
+    """The observations of one point in the measured time."""
 
     ingresses: int
     backends: int
     changes_expected: bool
-    reports: Sequence[Sequence[SyntheticReport]]  # of each process, from the last one before it on
-    full_lists: int  # that discovery has sent
+    reports: Sequence[Sequence[SyntheticReport]]  # per process, from the last before that time on
+    full_lists: int  # sent by discovery
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,15 +45,17 @@
         return self.last.at_s - self.first.at_s
 
     def increase(self, field: str) -> float:
-        """Return by how much a sum has risen."""
+        """Return the increase of a field that is a sum."""
         increase: float = getattr(self.last, field) - getattr(self.first, field)
         return increase
 
 
 def compute_figures(measurement: Measurement) -> Figures:
-    """Return sums over the processes, by ingress where their name doesn't say otherwise.
+    """Return the figures of a point from the reports of its processes.
 
-    Figures that need every ingress to be ready and to have reported twice are None without that.
+    held_entries, held_mb, peak_mb, control_cpu_percent, control_bytes_per_s and counter_calls_per_s
+    are means per ingress. Figures that need every ingress to be ready and every process to have
+    reported twice are None otherwise.
     """
     figures = _list_figures(measurement)
     spans = [_Span(reports[0], reports[-1]) for reports in measurement.reports if len(reports) > 1]
@@ -73,7 +75,7 @@
 
 def _list_figures(measurement: Measurement) -> Figures:
     last_reports = [reports[-1] for reports in measurement.reports if reports]
-    # An ingress keeps its part of a long list only, but must hold as many backends as a subset has.
+    # An ingress keeps only its partition of a long list, which must suffice for a minimum subset.
     needed = min(MIN_SUBSET_SIZE, measurement.backends)
     unheld = max(
         (1 - min(1.0, report.min_entries / needed) for report in last_reports), default=1.0
--- a/fleetlab/synthetic_ingress.py
+++ b/fleetlab/synthetic_ingress.py
@@ -1,4 +1,4 @@
-"""A synthetic ingress: real decisions, discovery and counter calls, with invented requests.
+"""A synthetic ingress: real decisions, discovery and counter calls, with generated requests.
 
 It has no sockets for clients and backends.
 """
@@ -35,14 +35,14 @@
 from sumacpost.policy.gateway import Gateway
 from sumacpost.supervisor import SupervisedTask
 
-ATTEMPT_MS = 1.0  # elapsed time that is reported for every attempt
-TIME_LEFT_MS = 2000.0  # of a request, at its arrival
-GATEWAY_SPREAD = 3  # ingresses that receive a customer's requests
+ATTEMPT_MS = 1.0  # elapsed time reported for every attempt
+TIME_LEFT_MS = 2000.0  # until the deadline of a request, at its arrival
+GATEWAY_SPREAD = 3  # number of ingresses that receive a customer's requests
 
 
 @dataclass(slots=True)
 class IngressCounts:
-    """What one ingress has done since its start."""
+    """Counts of one ingress since its start."""
 
     arrived: int = 0
     sent: int = 0
@@ -55,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Deadline:
-    """When a request's client gives up, on the clock of the gateway."""
+    """The time of a request's deadline, on the gateway's clock."""
 
     at_ms: float
     request: int
 
 
 class SyntheticIngress:
-    """One ingress with invented requests: every attempt succeeds at once."""
+    """One ingress with generated requests: every attempt succeeds immediately."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -90,11 +90,11 @@
             self.counter = CounterClient(config.counter, timeout_s, self._handle_counter_reply)
 
     def now_ms(self) -> float:
-        """Return the gateway's time: milliseconds on the scale of Unix time."""
+        """Return the gateway's time: the monotonic clock offset to Unix time, in ms."""
         return (self._clock_offset_s + time.monotonic()) * 1000
 
     def start(self) -> list[SupervisedTask]:
-        """Start the lasting tasks of discovery and counter, and return them."""
+        """Start the long-running tasks of discovery and counter, and return them."""
         tasks = [SupervisedTask("discovery-watch", self.discovery.run)]
         counter = self.counter
         if counter is not None:
@@ -102,7 +102,7 @@
         return tasks
 
     def update_endpoints(self, update: EndpointListUpdate, addresses: AddressByBackend) -> None:
-        """Take in an update of the endpoint list."""
+        """Apply an update of the endpoint list."""
         if update.kind is UpdateKind.CHANGES:
             self.counts.changes += len(update.entries)
             self.addresses.update(addresses)
@@ -116,7 +116,7 @@
         self._handle(update)
 
     def pop_max_notification_ms(self) -> float:
-        """Return the longest time from a backend's start to its notification; begin anew."""
+        """Return and reset the longest time from a backend's start to its notification, in ms."""
         longest_ms = self._max_notification_ms
         self._max_notification_ms = 0.0
         return longest_ms
@@ -128,7 +128,7 @@
                 self._max_notification_ms = max(self._max_notification_ms, delay_ms)
 
     def simulate_request(self, customer: int, request_class: int, units: float = 1.0) -> None:
-        """Make up a request; it is concluded at once, or when the counter has replied."""
+        """Handle a generated request, which is concluded now or after the counter's reply."""
         self.counts.arrived += 1
         request = self.counts.arrived
         self._open_requests.add(request)
@@ -147,7 +147,7 @@
         )
 
     def cancel_overdue(self) -> None:
-        """Cancel the requests that have waited for the counter beyond their deadline."""
+        """Cancel the requests that still wait for the counter after their deadline."""
         now_ms = self.now_ms()
         while self._deadlines and self._deadlines[0].at_ms <= now_ms:
             request = self._deadlines.popleft().request
@@ -162,7 +162,7 @@
         self._handle(event)
 
     def _handle(self, event: Event) -> None:
-        """Handle events one after another, with those that actions cause at once."""
+        """Handle events one after another, including those caused by actions."""
         self._events.append(event)
         if self._handling:
             return
--- a/fleetlab/synthetic_messages.py
+++ b/fleetlab/synthetic_messages.py
@@ -6,29 +6,29 @@
 
 
 class SyntheticSpec(msgspec.Struct, frozen=True):
-    """What one process holds and how it drives its ingresses."""
+    """The ingresses of one process, and the load that it generates on them."""
 
     ingresses: int
     gateways: int  # in the whole fleet
     discovery: str  # host and port
-    counter: str = ""  # host and port; without them there is no counter
-    first_index: int = 0  # of the process's ingresses among the gateways
-    rate: float = 20.0  # requests a second at each ingress
+    counter: str = ""  # host and port; empty: no counter
+    first_index: int = 0  # index of the process's first ingress among the gateways
+    rate: float = 20.0  # requests per second at each ingress
     customers: int = 1000
-    preloaded_customers: int = 0  # each ingress serves so many once before the load
+    preloaded_customers: int = 0  # each ingress serves a request of each before the load
     classes: int = 3
-    burst: float = 1000.0  # units, and units a second, of the plan
+    burst: float = 1000.0  # of the plan: units, and units per second
     seed: int = 0
-    seconds: float = 60.0  # after which the process ends
+    seconds: float = 60.0  # after which the process exits
 
 
 class SyntheticReport(msgspec.Struct, frozen=True):
     """Sums over all ingresses of a process since its start."""
 
-    at_s: float  # since the start
-    ready_s: float | None  # when all held a list and had preloaded customers; None before
-    entries: int  # of endpoint lists
-    min_entries: int  # at the ingress that holds fewest
+    at_s: float  # since the start of the process
+    ready_s: float | None  # when all had a list and preloaded customers; None before
+    entries: int  # in the endpoint lists
+    min_entries: int  # at the ingress with the fewest entries
     discovery_bytes: int
     counter_bytes: int
     counter_calls: int
@@ -38,11 +38,11 @@
     rejected: int
     failed: int
     changes: int
-    # The longest time from a backend's start, as its entry has it, to the notification of the
-    # change, since the report before.
+    # The longest time from a backend's start, as given in its entry, to the notification of the
+    # change, since the previous report.
     max_notification_ms: float
-    base_mb: float  # before the first ingress was made
+    base_mb: float  # before the first ingress was created
     rss_mb: float
     peak_mb: float
     cpu_s: float
-    decision_cpu_s: float  # the part of it that batches of requests took
+    decision_cpu_s: float  # the part of cpu_s that was spent on batches of requests
--- a/fleetlab/synthetic_process.py
+++ b/fleetlab/synthetic_process.py
@@ -1,8 +1,8 @@
 """A process of synthetic ingresses.
 
-`python -m fleetlab.synthetic_process` reads one JSON line (SyntheticSpec) on standard input and
-writes one JSON line (SyntheticReport) a second. It ends when its standard input does, at SIGTERM,
-or once its time is over.
+`python -m fleetlab.synthetic_process` reads one JSON line (SyntheticSpec) from standard input. It
+writes one JSON line (SyntheticReport) per second, and one when the ingresses become ready. It exits
+at the end of its standard input, on SIGTERM or SIGINT, or when its time has elapsed.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 REPORT_INTERVAL_S = 1.0
 BATCH_INTERVAL_S = 0.05  # between batches of requests
-LIST_POLL_S = 0.01  # between looks whether all ingresses hold a list
-PRELOAD_BATCH = 200  # customers, before other tasks have their turn
+LIST_POLL_S = 0.01  # between checks whether all ingresses have a list
+PRELOAD_BATCH = 200  # customers served before other tasks can run
 MAX_SECONDS = 86_400
 EXIT_BAD_SPEC = 2
 STDIN_READ_BYTES = 4096
 
 
 def make_configs(spec: SyntheticSpec) -> Iterator[Config]:
-    """Yield the configuration of each ingress, read from its own text.
+    """Yield the configuration of each ingress, each read from a text of its own.
 
-    Raise ConfigError if the spec makes none that can be used.
+    Raise ConfigError if the spec results in an invalid configuration.
     """
     for index in range(spec.first_index, spec.first_index + spec.ingresses):
         yield read_config(
@@ -67,7 +67,7 @@
         self.ingresses = [SyntheticIngress(config) for config in make_configs(spec)]
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Drive the ingresses and report every second until stop is set or the time is over."""
+        """Generate load and report every second until `stop` is set or the time has elapsed."""
         tasks = [task for ingress in self.ingresses for task in ingress.start()]
         load_task = asyncio.create_task(self._generate_load())
         try:
@@ -79,7 +79,7 @@
             for task in tasks:
                 task.stop()
             if load_task.done() and not load_task.cancelled():
-                load_task.result()  # raises what the task has failed with
+                load_task.result()  # raises the exception of a failed task
             load_task.cancel()
 
     async def _report_until(self, ended: Callable[[], bool]) -> None:
@@ -88,7 +88,7 @@
             await self._wait_for_next_report(ended)
 
     async def _wait_for_next_report(self, ended: Callable[[], bool]) -> None:
-        """Wait for the interval, or only until the ingresses become ready."""
+        """Wait for the report interval, or until the ingresses become ready if that is earlier."""
         was_ready = self._ready_s is not None
         due_at = self._loop.time() + REPORT_INTERVAL_S
         while self._loop.time() < due_at and not ended():
@@ -102,7 +102,7 @@
         await self._preload_customers()
         self._ready_s = self._loop.time() - self._started_at
         load_started_at = self._loop.time()
-        requests_made = 0  # at each ingress
+        requests_made = 0  # per ingress
         while True:
             await asyncio.sleep(BATCH_INTERVAL_S)
             requests_due = int((self._loop.time() - load_started_at) * self.spec.rate)
@@ -128,7 +128,7 @@
             ingress.cancel_overdue()
 
     def report(self) -> SyntheticReport:
-        """Return the sums as they stand."""
+        """Return the current sums."""
         received_bytes = self._loop.received_bytes
         config = self.ingresses[0].config
         entries = [len(ingress.addresses) for ingress in self.ingresses]
@@ -185,19 +185,19 @@
 
 
 def _read_spec() -> SyntheticSpec:
-    """Return the spec on standard input; ValueError if it can't be used."""
+    """Return the spec from standard input; raise ValueError if it is invalid."""
     spec = msgspec.json.decode(sys.stdin.buffer.readline(), type=SyntheticSpec)
     if spec.ingresses < 1 or not 0 < spec.seconds < MAX_SECONDS:
-        raise ValueError(f"{spec.ingresses} ingresses for {spec.seconds} s")
+        raise ValueError(f"invalid spec: {spec.ingresses} ingresses for {spec.seconds} s")
     next(make_configs(spec))
     return spec
 
 
 def main() -> int:
-    """Return 0 at the end, 2 after one line on standard error if the spec can't be used."""
+    """Return 0 at the end, or 2 after one line on standard error if the spec is invalid."""
     try:
         spec = _read_spec()
-    except ValueError as error:  # the base of msgspec's errors and of the configuration's
+    except ValueError as error:  # base class of msgspec's errors and of ConfigError
         print(f"fleetlab.synthetic_process: {error}", file=sys.stderr)
         return EXIT_BAD_SPEC
     with asyncio.Runner(loop_factory=CountingLoop) as runner:
--- a/fleetlab/versioned_list.py
+++ b/fleetlab/versioned_list.py
@@ -1,4 +1,4 @@
-"""An endpoint list with versions, as discovery serves it: in full, or the changes since one."""
+"""A versioned endpoint list as served by discovery: in full, or the changes since a version."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-MAX_CHANGE_HISTORY = 4_096  # a reader that knows an older version gets the full list
+MAX_CHANGE_HISTORY = 4_096  # changes kept; a reader of an older version gets the full list
 
 JsonObject = dict[str, object]
 
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """The entry that one version has changed."""
+    """A change of one entry in one version."""
 
     version: int
     index: int
@@ -25,7 +25,7 @@
 
 
 class VersionedList:
-    """The entries of an endpoint list; each is encoded once and again only when it changes."""
+    """The entries of an endpoint list; an entry is encoded again only when it changes."""
 
     def __init__(self, entries: Sequence[JsonObject]) -> None:
         self.version = 1
@@ -39,7 +39,7 @@
         return [index for index, entry in enumerate(self._entries) if entry["endpoint"] == endpoint]
 
     def update(self, indexes: Iterable[int], fields: JsonObject) -> None:
-        """Make a new version in which these entries have these fields."""
+        """Create a new version in which these entries have these fields."""
         self.version += 1
         for index in indexes:
             self._entries[index].update(fields)
@@ -48,16 +48,16 @@
         self._full_list = None
 
     def encode_changes(self, since: int) -> bytes | None:
-        """Return what has changed since a version; None if that is not known, or no longer."""
+        """Return the changes since a version; None if the version is unknown or too old."""
         oldest = self._changes[0].version if len(self._changes) == MAX_CHANGE_HISTORY else 1
         if not oldest <= since <= self.version:
             return None
-        # A dictionary rather than a set: the entries stay in the order of their changes.
+        # A dictionary, unlike a set, keeps the entries in the order of their changes.
         changed = {change.index: None for change in self._changes if change.version > since}
         return self._encode_list([self._encoded[index] for index in changed], full=False)
 
     def encode_full(self) -> bytes:
-        """Return the full list, without the entries that have left."""
+        """Return the full list, without the entries in the state `left`."""
         if self._full_list is None:
             encoded = [
                 line
@@ -68,7 +68,7 @@
         return self._full_list
 
     def encoded_prefix(self, count: int) -> bytes:
-        """Return the first entries, with commas between, whether they have left or not."""
+        """Return the first entries, comma-separated, including those in the state `left`."""
         return b",".join(self._encoded[:count])
 
     def _encode_list(self, encoded: Sequence[bytes], *, full: bool) -> bytes:
