--- a/sumacpost/upstream/attempt.py
+++ b/sumacpost/upstream/attempt.py
@@ -18,7 +18,7 @@
     CREATED = "created"
     WAITING = "waiting"  # queued in its pool until a connection is available
     IN_FLIGHT = "in flight"  # its request has been written to a connection, or is being written
-    SKIPPED = "skipped"  # will not be written; a later event loop iteration reports the outcome
+    SKIPPED = "skipped"  # will not be written; the next event loop iteration reports the outcome
     ENDED = "ended"  # its outcome has been reported, or the attempt was cancelled
 
 
@@ -44,10 +44,10 @@
     index: int  # position among the attempts of the request, from 0
     backend: BackendId
     encode: Callable[[], bytes]  # returns the complete request, encoded at the time of writing
-    started_at_ms: float  # ms, on the clock of the owner
+    started_at_ms: float  # ms, on the clock of the ingress
     retryable: bool = True  # another attempt may follow even if the backend ran this one
     state: AttemptState = AttemptState.CREATED
-    outcome: Outcome | None = None  # set by the owner when the attempt has ended
+    outcome: Outcome | None = None  # set by the ingress when the attempt has ended
     written: bool = False  # bytes of the request have been passed to a connection
     pool: AttemptQueue | None = None
     connection: AttemptConnection | None = None  # None unless the attempt is in flight
--- a/sumacpost/upstream/connection.py
+++ b/sumacpost/upstream/connection.py
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-# Longest pause in an incomplete response. After a longer one the response is taken to be lost.
+# Longest pause in an incomplete response. After a longer one, the rest is not expected to arrive.
 RESPONSE_STALL_TIMEOUT_S = 0.3
 
 
@@ -37,7 +37,7 @@
     """Why a connection to a backend was closed; the values appear in the log."""
 
     LOST = "lost"  # closed by the backend, or broken on the network path
-    STALE = "stale"  # idle for too long, or found closed when it was to be reused
+    STALE = "stale"  # idle for too long, or found closed when it was to be used
     EVICTED = "evicted"  # closed to keep within the connection limit
     RETIRED = "retired"  # the backend moved, restarted or was removed, or the ingress stops
     ATTEMPT_ABANDONED = "attempt_abandoned"
--- a/sumacpost/upstream/pool.py
+++ b/sumacpost/upstream/pool.py
@@ -17,8 +17,8 @@
 from sumacpost.upstream.connection import BackendConnection, CloseReason
 from sumacpost.upstream.reuse_limit import ReuseLimit
 
-# Time from a response to the next request on its connection: a backend may send a second response
-# some milliseconds after the first.
+# Shortest time from a response to the next request on its connection. A backend may send a second
+# response some milliseconds after the first, which would be taken for that to the next request.
 REUSE_DELAY_S = 0.01
 
 
@@ -48,7 +48,7 @@
         self.max_body_bytes = owner.max_body_bytes
         self.reuse_limit = owner.reuse_limit
         self.recorder = owner.recorder
-        self.idle: deque[BackendConnection] = deque()  # in order of their last use
+        self.idle: deque[BackendConnection] = deque()  # least recently used first
         self.waiting: deque[Attempt] = deque()  # in order of arrival
         self._owner = owner
         self._retired = False
@@ -159,8 +159,8 @@
             self._owner.release_connection()
             self._on_connect_failed(attempt)
             return
-        # The connection serves its own attempt, not the one that has waited longest: its own would
-        # otherwise be left without a connection being established.
+        # The connection serves the attempt that it was opened for, not the one that has waited
+        # longest. Otherwise the former would be left without a connection being established.
         if attempt.state is not AttemptState.WAITING or not self._owner.may_write(attempt):
             self.add_idle(connection)
         elif connection.is_usable():
@@ -203,7 +203,7 @@
             self._owner.release_connection()
 
     def _on_connect_failed(self, attempt: Attempt) -> None:
-        """End an attempt whose connection failed, unless another connection has served it."""
+        """End an attempt that got no usable connection, unless another one has served it."""
         if attempt.state is AttemptState.WAITING:
             self.waiting.remove(attempt)
             self.end_attempt(attempt, Outcome.CONNECT_FAILED, None)
--- a/sumacpost/upstream/pool_manager.py
+++ b/sumacpost/upstream/pool_manager.py
@@ -132,7 +132,7 @@
             pool.retire()
 
     def _evict_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest; return False if all are in use."""
+        """Close the connection that has been idle longest; return False if there is no idle one."""
         oldest_idle = (pool.idle[0] for pool in self._pools.values() if pool.idle)
         candidate = min(oldest_idle, key=lambda idle: idle.idle_since, default=None)
         if candidate is None:
--- a/sumacpost/upstream/reuse_limit.py
+++ b/sumacpost/upstream/reuse_limit.py
@@ -5,13 +5,13 @@
 # Fraction of the idle timeout of the backends. Connections that are idle for longer are closed,
 # well before the backends close them.
 IDLE_TIMEOUT_FRACTION = 0.6
-# A reset within this time after the request shows that the connection was already dead before it.
+# A reset within this time after a request shows that the connection was broken before the request.
 STALE_RESET_WINDOW_S = 0.02
-MIN_REUSE_IDLE_S = 0.03  # lower bound of the limit
-# While the limit is below this, an attempt that is not retryable gets a new connection.
+MIN_REUSE_IDLE_S = 0.03  # lower bound of max_reuse_idle_s
+# While max_reuse_idle_s is below this, an attempt that is not retryable gets a new connection.
 NON_RETRYABLE_REUSE_IDLE_S = 1.0
-REUSE_IDLE_DECREASE = 0.8  # factor applied after a stale connection
-REUSE_IDLE_INCREASE = 1.02  # factor applied after a successful response
+REUSE_IDLE_DECREASE = 0.8  # factor on max_reuse_idle_s after a stale connection
+REUSE_IDLE_INCREASE = 1.02  # factor on max_reuse_idle_s after a successful response
 
 
 class ReuseLimit:
--- a/tests/upstream/test_connection_races.py
+++ b/tests/upstream/test_connection_races.py
@@ -67,7 +67,7 @@
 def test_connection_established_while_its_backend_is_removed_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The pool has to close it, since connecting can no longer be cancelled at that point."""
+    """Connecting can no longer be cancelled then, so the pool has to close the connection."""
 
     async def test() -> None:
         async with Peer(respond()) as peer:
@@ -133,7 +133,7 @@
 
 
 def peek(writer: asyncio.StreamWriter) -> bytes | None:
-    """Return the next byte that the peer would read: b"" at the end of the stream, None if none."""
+    """Return the next byte to be read, b"" at the end of the stream, None until there is data."""
     descriptor = socket.dup(writer.transport.get_extra_info("socket").fileno())
     with socket.socket(fileno=descriptor) as sock:
         try:
@@ -204,7 +204,10 @@
 def test_response_to_a_partly_written_request_closes_the_connection(
     early_response: bytes, outcome: Outcome
 ) -> None:
-    """If it were reused, the rest of the request would be read as the start of the next one."""
+    """The connection must not be reused.
+
+    The backend would read the rest of the request as the start of the next one.
+    """
 
     async def test() -> None:
         async def first_bytes(reader: asyncio.StreamReader) -> bytes:
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -61,6 +61,7 @@
         telemetry = {"via": "inline", "fields": ["backlog", "throughput", "utilization"]}
         async with running_ingress(report, settings={"telemetry": telemetry}) as ingress:
             await ingress.send(request())
-            assert ingress.gateway.estimate.warm_capacity_per_s == pytest.approx(0.5)  # 1/20 of ten
+            # The report gives a capacity of 6.0 / 0.6 = 10 per second, with a weight of 0.05.
+            assert ingress.gateway.estimate.warm_capacity_per_s == pytest.approx(0.5)
 
     run(test())
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -65,10 +65,10 @@
             first = outcomes.start()
             await until(lambda: len(peer.requests) == 1)
 
-            async def never_up(pool: ConnectionPool, attempt: Attempt) -> None:
+            async def never_connect(pool: ConnectionPool, attempt: Attempt) -> None:
                 pass
 
-            monkeypatch.setattr(ConnectionPool, "_connect", never_up)
+            monkeypatch.setattr(ConnectionPool, "_connect", never_connect)
             second = outcomes.start()
             peer.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
             await until(lambda: first.ended and second.connection is not None)
