--- a/sumacpost/discovery/backoff.py
+++ b/sumacpost/discovery/backoff.py
@@ -14,8 +14,8 @@
 # Delay before a new connection. Including the time to connect, it stays within the 200 ms that the
 # watch is allowed.
 RECONNECT_DELAY_S = 0.1
-# A change must be known to the ingress 6 s after it is known to discovery, even after failed polls,
-# and the next poll takes time as well.
+# A change must be known to the ingress within 6 s after it is known to discovery, even after failed
+# polls, and the next poll takes time as well.
 MAX_RECONNECT_DELAY_S = 4.0
 MAX_DELAY_DOUBLINGS = 10  # limit on the exponent; the delay reaches its maximum long before
 SMALL_LIST_BYTES = 64 * 1024  # lists up to this size may be polled again at any time
@@ -31,7 +31,8 @@
     """Exponential backoff with jitter, and a limit on the bytes received after long responses.
 
     Attributes:
-        failures: connections that ended after part of a response, since the last usable list.
+        failures: connections that ended with a response, complete or not, since the last usable
+            list.
         limited_until: end of the current or last limit, in seconds of the event loop's clock.
     """
 
@@ -51,8 +52,8 @@
     def next_delay(self, received_bytes: int, malformed: bool, now: float) -> float:
         """Record the end of a connection and return the delay before the next one, in seconds.
 
-        received_bytes: size of the last response, 0 if there was no response.
-        malformed: whether the last response was not a valid list.
+        received_bytes: bytes received of the connection's last response, 0 if there was none.
+        malformed: whether the last response was invalid, rather than truncated or too slow.
 
         A long response that is malformed starts a limit. A long response that is truncated does so
         unless it is the first failure.
--- a/sumacpost/discovery/endpoint_list.py
+++ b/sumacpost/discovery/endpoint_list.py
@@ -220,7 +220,7 @@
 
 
 class EndpointListReader:
-    """Reads endpoint lists as updates for the gateway, and records the backends that it knows.
+    """Reads endpoint lists as updates for the gateway, and tracks the gateway's known backends.
 
     Attributes:
         has_cell_scope: whether a request class must be retried in the cell of the first attempt.
@@ -244,10 +244,10 @@
         self._index = index
         self._partition_count = 1
         self._known_backends: dict[BackendId, None] = {}
-        self._partition_backend_count = 0  # known backends without deduplication peers
+        self._partition_backend_count = 0  # known backends that are not deduplication peers
 
     def is_deduplication_peer(self, backend: BackendId) -> bool:
-        """Return whether a backend of another partition is known from the last list."""
+        """Return whether a backend of another partition was known after the last list."""
         return self.has_cell_scope and backend in self._known_backends
 
     def rank(self, backend: BackendId) -> int:
--- a/sumacpost/discovery/incremental_json.py
+++ b/sumacpost/discovery/incremental_json.py
@@ -8,7 +8,7 @@
 
 from sumacpost.errors import EndpointListError
 
-MAX_BYTES_WITHOUT_EVENT = 64 * 1024  # valid lists have no longer strings or white space
+MAX_BYTES_WITHOUT_EVENT = 64 * 1024  # more than any string or white space in a valid list
 
 JsonEvent = tuple[str, Any]
 """An event of ijson: its name ("start_map", "map_key", "number" ...) and its value."""
--- a/sumacpost/discovery/start_times.py
+++ b/sumacpost/discovery/start_times.py
@@ -26,8 +26,9 @@
     capacity for a time. With this offset they never look older than they are.
 
     The first list reports all starts late. It is used to estimate the offset as well if most of its
-    backends started long ago: the others are few, and may be cold. If most backends have a start
-    time, perhaps a common one some time ago, the clock is trusted.
+    backends started so long ago that they have no start time: the others are few, and may be cold.
+    If most backends have a start time, they may all have started together some time ago. The clock
+    is then trusted: the offset is 0 until a later list gives an estimate.
     """
 
     def __init__(self, now_ms: Callable[[], float]) -> None:
@@ -39,8 +40,8 @@
     def convert(self, update: EndpointListUpdate, live: bool) -> None:
         """Convert the start times of an update's entries in place.
 
-        live: whether an earlier list has come from discovery, so that the update reports a new
-        start soon after it.
+        live: whether an earlier list has come from discovery, so that the new starts in this update
+        are reported soon after they happened.
         """
         now = self._now_ms()
         if update.kind in (UpdateKind.FULL, UpdateKind.CACHED):
--- a/sumacpost/discovery/watch.py
+++ b/sumacpost/discovery/watch.py
@@ -34,7 +34,8 @@
 # Longest time for which the agent may hold a poll until there is a change. A silent connection is
 # detected only after it.
 LONG_POLL_MS = 1000
-# The same while the agent is unavailable: when it recovers, its changes are needed immediately.
+# The longest hold while the agent is unavailable: when it recovers, its changes are needed
+# immediately.
 RECOVERY_POLL_MS = 1
 # Time-out for the first bytes of a response after the hold, and for each further piece. It is
 # shorter where the grace period of a drain is short, so that the recovery of a silent agent is
--- a/tests/discovery/faults.py
+++ b/tests/discovery/faults.py
@@ -42,7 +42,7 @@
     "silent": inject(lambda agent: never_respond),
     "truncated and closed": inject(lambda agent: agent.truncate_and_close),
     "truncated and left open": inject(lambda agent: agent.truncate_and_stall),
-    "dripping without end": inject(lambda agent: agent.send_slowly),
+    "sent slowly without end": inject(lambda agent: agent.send_slowly),
     "complete, but no list": inject(lambda agent: send_bytes(INVALID_LIST, close=False)),
     "an error": inject(lambda agent: send_bytes(SERVER_ERROR, close=False)),
     "after the time-out": inject(lambda agent: agent.respond_late),
--- a/tests/discovery/test_backoff.py
+++ b/tests/discovery/test_backoff.py
@@ -26,7 +26,7 @@
     for number, delay in enumerate(delays):
         longest = min(MAX_RECONNECT_DELAY_S, 0.1 * 2**number)
         assert longest / 2 <= delay <= longest
-    # A change must be known to the ingress after 6 s.
+    # A change must be known to the ingress within 6 s.
     assert MAX_RECONNECT_DELAY_S + RESPONSE_TIMEOUT_S + 1 < 6
 
 
--- a/tests/discovery/test_drain_time_limit.py
+++ b/tests/discovery/test_drain_time_limit.py
@@ -54,7 +54,7 @@
 
 
 def test_drain_is_known_in_time_after_any_fault() -> None:
-    """The ingress has to know a drain 6 s after discovery has it and can be reached.
+    """The ingress has to know a drain within 6 s after discovery has it and can be reached.
 
     Each fault starts while a poll is held. The short faults test how the ingress treats the open
     poll, the long ones how it treats many failed polls.
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -72,7 +72,7 @@
     assert {entry.backend for entry in update.entries} == set(addresses)
     assert all(parser.partition.contains(entry.backend) for entry in update.entries)
 
-    # The same applies to the changes that follow.
+    # Of the changes that follow, only those to the partition are stored.
     changed = reader.read(encode(changes(42, range(20_000, 20_640), "leaving"))).update
     assert changed.partition_count == 32
     assert 3 <= len(changed.entries) <= 60
--- a/tests/discovery/test_idle_clients.py
+++ b/tests/discovery/test_idle_clients.py
@@ -52,8 +52,8 @@
 class ProgramWithIdleClients:
     """The ingress as a process with few descriptors, its peers, and twice as many idle clients.
 
-    The clients connect during a fault of discovery, so that the ingress has to reconnect to
-    discovery while they occupy the descriptors.
+    The clients connect during a fault of discovery, which ends the connection to discovery. The
+    ingress has to reconnect while the clients use up the descriptors that it has for them.
     """
 
     def __init__(self, inject_fault: FaultInjector, descriptors: int, log: Path) -> None:
@@ -174,7 +174,10 @@
 def test_ordinary_client_is_served_while_idle_clients_use_up_the_descriptors(
     tmp_path: Path,
 ) -> None:
-    """Its connection may be closed unread, but must not wait, during the fault or after it."""
+    """The ingress must not leave the client's connection waiting, during the fault or after it.
+
+    It may close the connection without reading the request, which the client then repeats.
+    """
     cases = {
         f"{name}, {descriptors} descriptors": check_service(
             FAULTS[name], descriptors, tmp_path / f"{name}-{descriptors}.log"
@@ -191,7 +194,7 @@
 def test_ordinary_client_is_served_after_many_simultaneous_idle_clients(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """64 descriptors leave eight connections; forty clients connect before the first accept."""
+    """64 descriptors allow eight client connections; forty connect before the first accept."""
     monkeypatch.setattr("sumacpost.server.connection_registry.REQUEST_TIMEOUT_S", 1000.0)
 
     async def test() -> None:
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -95,7 +95,7 @@
 
     run(test())
     assert "endpoint list rejected: error=EndpointListError('parse error" in caplog.text
-    assert "response body: " in caplog.text
+    assert "response body: Content-Length " in caplog.text
 
 
 @pytest.mark.usefixtures("_short_delays")
