--- a/sumacpost/counter/connection.py
+++ b/sumacpost/counter/connection.py
@@ -26,7 +26,7 @@
 TIMER_TOLERANCE_S = 0.0005  # deadlines that are this close are handled by the same timer
 
 # Silence time-out of a connection with unreplied calls, unless the call time-out is longer:
-FIRST_REPLY_TIMEOUT_S = 0.25  # before the first reply, as no process may be serving the connection
+FIRST_REPLY_TIMEOUT_S = 0.25  # before the first reply; perhaps no process serves the connection
 SILENCE_LATENCY_FACTOR = 8.0  # after the first reply, multiple of the estimated reply latency
 MAX_SILENCE_S = 1.0  # upper limit of that multiple
 LATENCY_DECAY = 0.98  # factor applied to the estimated latency for each faster reply
@@ -92,7 +92,8 @@
         self._timer: Timer | None = None
         self._has_replied = False
         self._retired = False
-        self._loss_outcome = Outcome.TIMEOUT  # of the calls that wait when the connection closes
+        # Outcome of the calls that still wait when the connection closes.
+        self._loss_outcome = Outcome.TIMEOUT
 
     @property
     def allows_immediate_reconnect(self) -> bool:
@@ -119,7 +120,7 @@
         return True
 
     def retire(self) -> None:
-        """Close once no call waits for its reply; the caller makes no further calls."""
+        """Close once no call waits for its reply; the caller must make no further calls."""
         self._retired = True
         self._close_if_retired()
 
@@ -139,8 +140,9 @@
     def _silence_timeout_s(self) -> float:
         """Return the longest tolerated time without any reply, in seconds.
 
-        The limit follows the latency of replies, and the first reply on a connection has a fixed
-        limit, so that a slow counter does not cause repeated new connections.
+        A counter that is slow as a whole shows this in the latency of its replies, which the limit
+        follows. The limit for the first reply on a connection is fixed, and longer than that of a
+        fast counter. A slow counter therefore does not cause repeated new connections.
         """
         limit_s = FIRST_REPLY_TIMEOUT_S
         if self._has_replied:
@@ -150,14 +152,16 @@
     def _check_deadlines(self) -> None:
         """Close a silent connection; otherwise conclude the calls that have timed out.
 
-        A connection that no process serves any more must be closed even if the counter is healthy,
-        since calls on it are lost. If replies are delayed for longer than the silence time-out
-        while the counter does read the calls, calls that will be added may be reported as lost.
+        A connection may no longer be served by any process although the counter is healthy. Such a
+        connection must be closed, since calls on it are lost. If replies are delayed for longer
+        than the silence time-out while the counter does read the calls, calls whose amounts will be
+        added may be reported as lost.
         """
         self._timer = None
         now = self._loop.time() + TIMER_TOLERANCE_S
         if self._has_stalled_reply(now):
-            # the counter has processed the call whose reply has begun
+            # The counter has processed the call whose reply has begun, and has added the amount
+            # unless the reply is an error.
             self._close_silent(Outcome.TIMEOUT, "partial_reply")
             return
         if self._unreplied and self._silent_since() + self._silence_timeout_s() <= now:
@@ -179,7 +183,7 @@
         )
 
     def _time_out_calls(self, now: float) -> None:
-        """Conclude calls whose deadline has passed; they may still have been added."""
+        """Conclude calls whose deadline has passed; their amounts may still have been added."""
         while self._waiting and self._call_deadline(self._waiting[0]) <= now:
             self._on_concluded(self._waiting.popleft(), Outcome.TIMEOUT, 0.0)
 
@@ -236,7 +240,7 @@
             self._on_concluded(call, Outcome.REJECTED, 0.0)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Conclude the calls that still wait, which may have been added."""
+        """Conclude the calls that still wait; their amounts may have been added."""
         self._transport = None
         if self._timer is not None:
             self._timer.cancel()
--- a/tests/counter/test_resp.py
+++ b/tests/counter/test_resp.py
@@ -21,7 +21,7 @@
     return ReplyDecoder()
 
 
-def drain(decoder: ReplyDecoder) -> list[Reply]:
+def read_replies(decoder: ReplyDecoder) -> list[Reply]:
     return list(iter(decoder.next_reply, None))
 
 
@@ -42,7 +42,7 @@
     replies: list[Reply] = []
     for start in range(0, len(STREAM), size):
         decoder.receive_data(STREAM[start : start + size])
-        replies += drain(decoder)
+        replies += read_replies(decoder)
     assert replies == REPLIES
     assert not decoder.has_partial_reply
 
