--- a/fleetlab/soak/faults.py
+++ b/fleetlab/soak/faults.py
@@ -116,9 +116,9 @@
             await self._list_fault(self.nodes[fault.target].agent, fault)
         elif fault.kind in _COUNTER_FAULTS:
             assert self.counter_path is not None
-            self.counter_path.begin_fault(_COUNTER_FAULTS[fault.kind])
+            self.counter_path.set_fault(_COUNTER_FAULTS[fault.kind])
             await asyncio.sleep(fault.seconds)
-            self.counter_path.begin_fault(PathFault.NONE)
+            self.counter_path.set_fault(PathFault.NONE)
         elif fault.kind in _SYSTEM_FAULTS:
             await self._system_fault(self.nodes[fault.target].process, fault)
         elif fault.kind is FaultKind.CLOCK_STEP:
@@ -180,12 +180,12 @@
             await asyncio.sleep(fault.gap_s)
 
     async def _system_fault(self, process: IngressProcess, fault: PlannedFault) -> None:
-        failing, probability = _SYSTEM_FAULTS[fault.kind]
+        system_fault, probability = _SYSTEM_FAULTS[fault.kind]
         began_at = time.monotonic()
-        process.system_faults.set_probability(failing, probability)
+        process.system_faults.set_probability(system_fault, probability)
         await asyncio.sleep(fault.seconds)
-        process.system_faults.set_probability(failing, 0.0)
-        if failing is SystemFault.BROKEN_CONNECTION:
+        process.system_faults.set_probability(system_fault, 0.0)
+        if system_fault is SystemFault.BROKEN_CONNECTION:
             broken = BrokenConnectionPeriod(process.name, began_at, time.monotonic())
             self.record.broken_paths.append(broken)
 
