--- a/tests/fleetlab/support.py
+++ b/tests/fleetlab/support.py
@@ -1,4 +1,4 @@
-"""What the tests of the scale run share."""
+"""Helpers of the tests of the lab."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 
 @asynccontextmanager
-async def started(server: AnyServer) -> AsyncIterator[AnyServer]:
-    """Run a server; it is stopped at the end."""
+async def run_server(server: AnyServer) -> AsyncIterator[AnyServer]:
+    """Start a server, and stop it at the end."""
     await server.start()
     try:
         yield server
@@ -35,10 +35,10 @@
 
 
 @asynccontextmanager
-async def connected(
+async def open_connection(
     address: str,
 ) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-    """Connect to host and port; the connection is closed at the end."""
+    """Connect to an address, given as host:port, and close the connection at the end."""
     reader, writer = await asyncio.open_connection(*split_address(address))
     try:
         yield reader, writer
@@ -46,11 +46,11 @@
         writer.close()
 
 
-def children_of(pid: int) -> list[int]:
-    """Return the ids of a process's children."""
+def child_pids(pid: int) -> list[int]:
+    """Return the ids of the child processes of a process."""
     return [int(child) for child in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
 
 
 def process_exists(pid: int) -> bool:
-    """Whether there is a process of this id."""
+    """Return whether a process with this id exists."""
     return Path(f"/proc/{pid}").exists()
--- a/tests/fleetlab/test_command.py
+++ b/tests/fleetlab/test_command.py
@@ -1,4 +1,4 @@
-"""The command line: bad options, and the way from small runs by result files to the table."""
+"""The command line: invalid options, result files of small runs, and the table of slopes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from fleetlab.command import main
 from fleetlab.results import read_results
 from fleetlab.slopes import fit
-from tests.fleetlab.support import children_of, process_exists
+from tests.fleetlab.support import child_pids, process_exists
 from tests.support.paths import ROOT
 
 START_TIMEOUT_S = 30
@@ -40,7 +40,7 @@
         ["slopes", "OUT"],
     ],
 )
-def test_a_bad_option_is_one_line_and_starts_nothing(
+def test_invalid_arguments_print_one_line_and_start_nothing(
     arguments: list[str],
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
@@ -57,7 +57,7 @@
     assert not out.exists()
 
 
-def test_a_small_sweep_on_two_axes_writes_results_that_slopes_reads(
+def test_slopes_reads_the_results_of_a_small_sweep_on_two_axes(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     out = ["--out", str(tmp_path)]
@@ -89,7 +89,7 @@
     assert "ingresses" in table
 
 
-def test_a_file_that_holds_no_results_is_one_line_with_its_name(
+def test_an_invalid_result_file_prints_one_line_with_its_name(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "x.jsonl").write_text('{"axis": 3}\n')
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("sizes", ["4", "x", "0x9", "9x900000", ",".join(["1x1"] * 65)])
-def test_pairs_rejects_sizes_that_make_no_sense(
+def test_pairs_rejects_invalid_sizes(
     sizes: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     out = tmp_path / "none"
@@ -124,10 +124,10 @@
         (["real", "--backends", "20", "--mode", "silent", "--seconds", "60"], signal.SIGTERM, 1),
     ],
 )
-def test_an_interrupt_ends_all_that_was_started(
+def test_an_interrupt_terminates_all_started_processes(
     arguments: list[str], signum: int, processes: int, tmp_path: Path
 ) -> None:
-    """No process is left after a run that is cut short, and the exit code tells."""
+    """An interrupted run must not leave processes behind; its exit code names the signal."""
     command = subprocess.Popen(
         [sys.executable, "-m", "fleetlab", *arguments, "--out", str(tmp_path)],
         cwd=ROOT,
@@ -135,22 +135,22 @@
         text=True,
     )
     try:
-        started = wait_for_children(command.pid, processes)
-        assert len(started) == processes
+        children = wait_for_children(command.pid, processes)
+        assert len(children) == processes
         os.kill(command.pid, signum)
         _, printed = command.communicate(timeout=START_TIMEOUT_S)
     finally:
         command.kill()
     assert command.returncode == 128 + signum
     assert "interrupted" in printed
-    assert not [pid for pid in started if process_exists(pid)]
+    assert not [pid for pid in children if process_exists(pid)]
 
 
 def wait_for_children(pid: int, count: int) -> list[int]:
-    """Wait until a process has so many children, or too long; return them."""
+    """Wait until a process has this many children or the time-out has elapsed; return their ids."""
     end = time.monotonic() + START_TIMEOUT_S
-    children = children_of(pid)
+    children = child_pids(pid)
     while len(children) < count and time.monotonic() < end:
         time.sleep(0.02)
-        children = children_of(pid)
+        children = child_pids(pid)
     return children
--- a/tests/fleetlab/test_counter_server.py
+++ b/tests/fleetlab/test_counter_server.py
@@ -1,9 +1,9 @@
-"""The stand-in for the shared counter."""
+"""Tests of the stand-in for the shared counter."""
 
 from __future__ import annotations
 
 from fleetlab.counter_server import CounterServer
-from tests.fleetlab.support import connected, started
+from tests.fleetlab.support import open_connection, run_server
 from tests.support.event_loop import run
 
 
@@ -12,8 +12,11 @@
     return head + b"".join(b"$%d\r\n%b\r\n" % (len(word), word.encode()) for word in words)
 
 
-def test_the_counter_adds_in_order_and_rejects_what_exceeds_its_rate() -> None:
-    """Totals by name, replies in the order of calls, -BUSY that adds nothing, and -ERR."""
+def test_the_counter_adds_in_order_and_rejects_calls_beyond_its_rate() -> None:
+    """Replies come in the order of the calls, with the totals of each name.
+
+    A call beyond the rate gets -BUSY and adds nothing, and an unknown or malformed call gets -ERR.
+    """
     calls = [
         encode_call("ADDGET", "7", "2.5", "4000"),
         encode_call("ADDGET", "7", "-1", "4000"),
@@ -35,8 +38,8 @@
 
     async def scenario() -> None:
         async with (
-            started(CounterServer(rate=10.0, shards=1, max_wait_s=0.25)) as counter,
-            connected(counter.address) as (reader, writer),
+            run_server(CounterServer(rate=10.0, shards=1, max_wait_s=0.25)) as counter,
+            open_connection(counter.address) as (reader, writer),
         ):
             writer.write(b"".join(calls))
             assert await reader.readexactly(len(replies)) == replies
--- a/tests/fleetlab/test_counting_loop.py
+++ b/tests/fleetlab/test_counting_loop.py
@@ -1,4 +1,4 @@
-"""The event loop that counts what its connections receive."""
+"""Tests of the event loop that counts the bytes received on its connections."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from fleetlab.counting_loop import CountingLoop
 from fleetlab.http_connection import HttpConnection
 from fleetlab.stand_in import split_address
-from tests.fleetlab.support import started
+from tests.fleetlab.support import run_server
 
 REQUEST = b"GET /r0/1 HTTP/1.1\r\nHost: b\r\n\r\n"
 RESPONSE = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
@@ -23,7 +23,7 @@
 
 
 async def exchange_by_socket(address: str) -> None:
-    """As the watch of discovery connects when it limits what it receives."""
+    """Exchange on a connected socket, as the discovery watch does to limit its receive buffer."""
     sock = socket.socket()
     sock.setblocking(False)
     await asyncio.get_running_loop().sock_connect(sock, split_address(address))
@@ -32,9 +32,9 @@
     connection.close()
 
 
-def test_bytes_are_counted_by_the_port_connected_to() -> None:
+def test_received_bytes_are_counted_by_remote_port() -> None:
     async def scenario(loop: CountingLoop) -> None:
-        async with started(BackendServers(ports=2)) as backends:
+        async with run_server(BackendServers(ports=2)) as backends:
             first, second = backends.endpoints
             await exchange_by_address(first)
             await exchange_by_address(second)
@@ -45,9 +45,9 @@
     run_on_counting_loop(scenario)
 
 
-def test_a_connected_socket_can_be_used() -> None:
+def test_bytes_from_a_connected_socket_are_counted_without_a_port() -> None:
     async def scenario(loop: CountingLoop) -> None:
-        async with started(BackendServers(ports=1)) as backends:
+        async with run_server(BackendServers(ports=1)) as backends:
             await exchange_by_socket(backends.endpoints[0])
             assert loop.received_bytes == {None: len(RESPONSE)}
 
--- a/tests/fleetlab/test_discovery_server.py
+++ b/tests/fleetlab/test_discovery_server.py
@@ -1,4 +1,4 @@
-"""The stand-in for discovery: full lists, changes, and responses that no ingress can use."""
+"""Tests of the stand-in for discovery: full lists, changes, and invalid responses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from sumacpost.discovery.endpoint_list import EndpointListReader
 from sumacpost.discovery.watch import DiscoveryWatch
 from sumacpost.model import EndpointListUpdate, UpdateKind
-from tests.fleetlab.support import UNUSED_ENDPOINTS, connected, started
+from tests.fleetlab.support import UNUSED_ENDPOINTS, open_connection, run_server
 from tests.support.event_loop import run, until
 
 
@@ -27,7 +27,7 @@
         self._writer = writer
 
     async def poll(self, query: str = "") -> dict[str, Any]:
-        """Return the list in the response."""
+        """Poll, and return the list in the response."""
         self._writer.write(f"GET /v1/servers{query} HTTP/1.1\r\nHost: d\r\n\r\n".encode())
         head = await self._reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200")
@@ -37,14 +37,14 @@
         return body
 
 
-def test_a_poll_gets_the_full_list_and_later_ones_what_has_changed() -> None:
-    """Also a poll that ends without a change, and one that knows a version that never was."""
+def test_the_first_poll_returns_the_full_list_and_later_ones_the_changes() -> None:
+    """A poll without a change returns no entries; one with an unknown version the full list."""
 
     async def scenario() -> None:
         entries = endpoint_entries(5, UNUSED_ENDPOINTS)
         async with (
-            started(DiscoveryServer(entries)) as server,
-            connected(server.address) as connection,
+            run_server(DiscoveryServer(entries)) as server,
+            open_connection(server.address) as connection,
         ):
             poller = Poller(*connection)
             full = await poller.poll()
@@ -63,10 +63,10 @@
             assert changed["targets"] == [entries[3] | {"state": "leaving"}]
 
             server.change([3], state="left")
-            gone = await poller.poll(f"?from={server.version - 1}&hold_ms=9")
-            assert [target["state"] for target in gone["targets"]] == ["left"]
-            unknown = await poller.poll("?from=999&hold_ms=9")
-            assert len(unknown["targets"]) == 4
+            after_leaving = await poller.poll(f"?from={server.version - 1}&hold_ms=9")
+            assert [target["state"] for target in after_leaving["targets"]] == ["left"]
+            after_unknown_version = await poller.poll("?from=999&hold_ms=9")
+            assert len(after_unknown_version["targets"]) == 4
             assert (server.full_polls, server.watch_polls, server.full_lists) == (1, 4, 2)
             assert server.bytes_written > 5 * 100
 
@@ -74,13 +74,14 @@
 
 
 @pytest.mark.parametrize("mode", ResponseMode)
-def test_an_ingress_accepts_the_readable_modes_and_no_other(
+def test_the_discovery_watch_accepts_only_the_readable_modes(
     mode: ResponseMode, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What is called unreadable is so to the real reader, which comes again.
+    """The real discovery watch must reject the unreadable modes, and connect again after each.
 
-    A reader that leaves in the middle of a response is no error of the server's. At the usual pace
-    it takes 14 s to read as much of an endless list as the ingress takes at most.
+    The server must not report an error if the watch closes the connection during a response. With
+    the default pause between chunks it takes 14 s until the watch has read as much of an endless
+    list as it accepts at most.
     """
     monkeypatch.setattr("fleetlab.discovery_server.ENDLESS_PAUSE_S", 0.0005)
 
@@ -91,7 +92,7 @@
             lambda _loop, context: errors.append(context)
         )
         entries = endpoint_entries(50, UNUSED_ENDPOINTS)
-        async with started(DiscoveryServer(entries, mode)) as server:
+        async with run_server(DiscoveryServer(entries, mode)) as server:
             watch = DiscoveryWatch(
                 split_address(server.address),
                 EndpointListReader("abc", ()),
--- a/tests/fleetlab/test_json_lines.py
+++ b/tests/fleetlab/test_json_lines.py
@@ -1,4 +1,4 @@
-"""Files of results where the disk is full, or a process was killed in the midst of a line."""
+"""Files of JSON lines after failed writes, and after a process was killed during a write."""
 
 from __future__ import annotations
 
@@ -16,35 +16,37 @@
     return tmp_path / "results.jsonl"
 
 
-def test_values_are_lines_in_their_order(file: Path) -> None:
+def test_values_are_appended_as_lines_in_order(file: Path) -> None:
     append_line(file, {"seed": 1})
     append_line(file, {"seed": 2})
     assert read_lines(file) == [b'{"seed":1}', b'{"seed":2}']
 
 
-@pytest.mark.parametrize("torn", [b'{"se', b'{"x":"' + b"y" * (2 * SEARCH_BLOCK_BYTES)])
-def test_half_a_line_of_a_killed_process_is_no_line_and_is_removed(file: Path, torn: bytes) -> None:
+@pytest.mark.parametrize("partial_line", [b'{"se', b'{"x":"' + b"y" * (2 * SEARCH_BLOCK_BYTES)])
+def test_an_incomplete_last_line_is_ignored_and_then_removed(
+    file: Path, partial_line: bytes
+) -> None:
     append_line(file, 1)
-    file.write_bytes(file.read_bytes() + torn)
+    file.write_bytes(file.read_bytes() + partial_line)
     assert read_lines(file) == [b"1"]
     append_line(file, 2)
     assert file.read_bytes() == b"1\n2\n"
 
 
-def test_half_a_first_line_is_removed_too(file: Path) -> None:
+def test_an_incomplete_first_line_is_removed(file: Path) -> None:
     file.write_bytes(b'{"se')
     append_line(file, 2)
     assert file.read_bytes() == b"2\n"
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
-def test_a_write_that_fails_half_way_leaves_the_file_as_it_was(
+def test_a_partial_write_that_fails_leaves_the_file_unchanged(
     file: Path, monkeypatch: pytest.MonkeyPatch, error: int
 ) -> None:
     append_line(file, 1)
     write, calls = os.write, 0
 
-    def fail_at_the_second(descriptor: int, data: bytes) -> int:
+    def fail_at_second_call(descriptor: int, data: bytes) -> int:
         nonlocal calls
         calls += 1
         if calls > 1:
@@ -52,7 +54,7 @@
         return write(descriptor, data[:3])
 
     with monkeypatch.context() as patched:
-        patched.setattr(os, "write", fail_at_the_second)
+        patched.setattr(os, "write", fail_at_second_call)
         with pytest.raises(OSError, match=os.strerror(error)):
             append_line(file, "a longer line")
     assert file.read_bytes() == b"1\n"
@@ -61,7 +63,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
-def test_a_sync_that_fails_leaves_the_file_as_it_was(
+def test_a_failed_sync_leaves_the_file_unchanged(
     file: Path, monkeypatch: pytest.MonkeyPatch, error: int
 ) -> None:
     append_line(file, 1)
--- a/tests/fleetlab/test_load_generator.py
+++ b/tests/fleetlab/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The load generator before stand-ins for backends."""
+"""Tests of the load generator with stand-in backends."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from fleetlab.backend_servers import BackendServers
 from fleetlab.http_connection import HttpConnection
 from fleetlab.load_generator import LoadGenerator
-from tests.fleetlab.support import started
+from tests.fleetlab.support import run_server
 from tests.support.event_loop import run
 
 
-def test_each_request_of_the_schedule_is_sent_once_and_recorded_once() -> None:
+def test_each_scheduled_request_is_sent_once_and_recorded_once() -> None:
     async def scenario() -> None:
-        async with started(BackendServers(ports=2, service_time_s=0.01)) as backends:
+        async with run_server(BackendServers(ports=2, service_time_s=0.01)) as backends:
             loads = [LoadGenerator(endpoint, 200.0, seed=3) for endpoint in backends.endpoints]
             await asyncio.gather(*(load.run(0.25) for load in loads))
             first, second = backends.request_counts.values()
@@ -26,9 +26,9 @@
     run(scenario())
 
 
-def test_a_backend_responds_404_to_a_request_without_id() -> None:
+def test_a_backend_responds_404_to_a_request_without_request_id() -> None:
     async def scenario() -> None:
-        async with started(BackendServers(ports=1)) as backends:
+        async with run_server(BackendServers(ports=1)) as backends:
             connection = await HttpConnection.open(backends.endpoints[0])
             status = await connection.request(b"GET /r0/1 HTTP/1.1\r\nHost: b\r\n\r\n")
             assert status == 404
--- a/tests/fleetlab/test_path_proxy.py
+++ b/tests/fleetlab/test_path_proxy.py
@@ -1,4 +1,4 @@
-"""What a client behind the failing path sees."""
+"""Effects of the faults of a path proxy on its clients."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 @asynccontextmanager
-async def proxy() -> AsyncIterator[PathProxy]:
+async def run_proxy() -> AsyncIterator[PathProxy]:
     async with Peer(respond()) as peer:
-        made = PathProxy(peer.address, delay_s=0.2)
-        await made.start()
+        path = PathProxy(peer.address, delay_s=0.2)
+        await path.start()
         try:
-            yield made
+            yield path
         finally:
-            await made.stop()
+            await path.stop()
 
 
 async def exchange(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bytes:
@@ -33,38 +33,38 @@
     return await reader.read(1000)
 
 
-def test_a_sound_path_forwards_and_a_delayed_one_later() -> None:
+def test_a_delayed_path_forwards_later_than_one_without_fault() -> None:
     async def test() -> None:
-        async with proxy() as path:
+        async with run_proxy() as path:
             reader, writer = await asyncio.open_connection(*split_address(path.address))
             assert (await exchange(reader, writer)).endswith(b"done")
             path.set_fault(PathFault.DELAYED)
-            began_at = time.monotonic()
+            started_at = time.monotonic()
             assert (await exchange(reader, writer)).endswith(b"done")
-            assert time.monotonic() - began_at >= 2 * path.delay_s
+            assert time.monotonic() - started_at >= 2 * path.delay_s
             writer.close()
 
     run(test())
 
 
-def test_a_silent_path_says_nothing_and_resets_at_its_end() -> None:
+def test_a_silent_path_forwards_nothing_and_resets_connections_at_its_end() -> None:
     async def test() -> None:
-        async with proxy() as path:
+        async with run_proxy() as path:
             reader, writer = await asyncio.open_connection(*split_address(path.address))
             path.set_fault(PathFault.SILENT)
-            answer = asyncio.create_task(exchange(reader, writer))
+            response = asyncio.create_task(exchange(reader, writer))
             await asyncio.sleep(0.1)
-            assert not answer.done()
+            assert not response.done()
             path.set_fault(PathFault.NONE)
             with pytest.raises(ConnectionResetError):
-                await answer
+                await response
 
     run(test())
 
 
-def test_a_reset_path_resets_open_connections_and_new_ones() -> None:
+def test_a_reset_path_resets_open_and_new_connections() -> None:
     async def test() -> None:
-        async with proxy() as path:
+        async with run_proxy() as path:
             reader, writer = await asyncio.open_connection(*split_address(path.address))
             assert (await exchange(reader, writer)).endswith(b"done")
             path.set_fault(PathFault.RESET)
@@ -76,14 +76,14 @@
     run(test())
 
 
-def test_a_half_closed_path_ends_what_the_target_sends() -> None:
+def test_a_half_closed_path_ends_only_the_stream_from_the_target() -> None:
     async def test() -> None:
-        async with proxy() as path:
+        async with run_proxy() as path:
             reader, writer = await asyncio.open_connection(*split_address(path.address))
             assert (await exchange(reader, writer)).endswith(b"done")
             path.set_fault(PathFault.HALF_CLOSED)
             assert await reader.read(1000) == b""
-            writer.write(REQUEST)  # still taken
+            writer.write(REQUEST)  # this direction remains open
             await writer.drain()
 
     run(test())
--- a/tests/fleetlab/test_plan.py
+++ b/tests/fleetlab/test_plan.py
@@ -1,4 +1,4 @@
-"""The tables of the plan, and what the program may know of the lab."""
+"""The tables of the plan, and the independence of the program from the lab."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("axis", DEFAULT_POINTS)
-def test_every_axis_has_points_and_makes_a_configuration_that_can_be_used(axis: str) -> None:
+def test_every_axis_has_points_and_a_valid_configuration(axis: str) -> None:
     points = DEFAULT_POINTS[axis]
     assert len(points) >= 4
     assert max(points) <= MAX_POINTS[axis]
@@ -27,7 +27,7 @@
     assert len(config.settings.classes) == point.classes
 
 
-def test_the_ingress_does_not_know_of_its_lab() -> None:
-    """Nothing in the program that serves needs the lab or its libraries."""
+def test_the_program_does_not_depend_on_the_lab() -> None:
+    """The program must run without the lab and the libraries that only the lab needs."""
     for path in ROOT.glob("sumacpost/**/*.py"):
         assert not re.search(r"fleetlab|numpy|msgspec|hdrh|click|\brich\b", path.read_text()), path
--- a/tests/fleetlab/test_processes.py
+++ b/tests/fleetlab/test_processes.py
@@ -1,4 +1,4 @@
-"""The processes of a run: none is left, and none is started that can't fit."""
+"""Child processes of a run: none is left behind, and the memory limit is kept."""
 
 from __future__ import annotations
 
@@ -10,17 +10,21 @@
 
 from fleetlab.process_stats import MemoryLimitError, check_memory
 from fleetlab.processes import ChildProcesses
-from tests.fleetlab.support import children_of, process_exists
+from tests.fleetlab.support import child_pids, process_exists
 from tests.support.event_loop import run
 
 MODULE = "fleetlab.synthetic_process"
 
 
-def test_an_interrupt_while_a_process_is_being_started_leaves_none() -> None:
-    """The moment between a process's beginning and its being known: once one was left there."""
+def test_a_start_that_is_cancelled_leaves_no_process() -> None:
+    """A process must be terminated even if the task that starts it is cancelled.
+
+    The process may already run when the cancellation arrives, but is not registered yet. Such a
+    process was once left behind.
+    """
 
     async def scenario() -> None:
-        before = children_of(os.getpid())
+        children_before = child_pids(os.getpid())
         processes = ChildProcesses()
         starting = asyncio.create_task(processes.start(MODULE))
         await asyncio.sleep(0)
@@ -29,18 +33,18 @@
         assert starting.cancelled()
         assert len(processes.pids) == 1
         await processes.terminate_all()
-        assert children_of(os.getpid()) == before
+        assert child_pids(os.getpid()) == children_before
 
     run(scenario())
 
 
-def test_a_process_that_ignores_its_termination_is_killed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_process_that_ignores_sigterm_is_killed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("fleetlab.processes.TERMINATION_GRACE_S", 0.1)
 
     async def scenario() -> None:
         processes = ChildProcesses()
         child = await processes.start(MODULE)
-        os.kill(child.pid, signal.SIGSTOP)  # SIGTERM does not end it now
+        os.kill(child.pid, signal.SIGSTOP)  # a stopped process does not handle SIGTERM
         await processes.terminate_all()
         assert not process_exists(child.pid)
         assert processes.pids == []
@@ -48,6 +52,6 @@
     asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
-def test_a_run_that_would_take_more_than_half_of_the_memory_is_rejected() -> None:
+def test_a_run_with_an_estimate_above_half_of_the_memory_is_rejected() -> None:
     with pytest.raises(MemoryLimitError):
         check_memory([], 1e9)
--- a/tests/fleetlab/test_real.py
+++ b/tests/fleetlab/test_real.py
@@ -1,4 +1,4 @@
-"""A real ingress as a process before stand-in servers."""
+"""Tests of the measurement of a real ingress process with stand-in servers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     monkeypatch.setattr("fleetlab.real_session.DRAIN_WATCH_S", 1.5)
 
 
-def test_a_real_ingress_serves_and_drains_a_port() -> None:
+def test_a_real_ingress_serves_and_applies_a_drain() -> None:
     run = RealRun(backends=20, seconds=0.5, seed=1, rate=50.0)
     figures = asyncio.run(real.measure(run))
     assert figures["served"]
@@ -28,7 +28,7 @@
     assert figures["agent_bytes_per_min"]
 
 
-def test_an_unreadable_list_ends_in_figures_and_no_exception() -> None:
+def test_an_unreadable_list_yields_figures_without_an_exception() -> None:
     run = RealRun(backends=20, mode=ResponseMode.NOT_A_LIST, seconds=0.5, seed=1, rate=50.0)
     figures = asyncio.run(real.measure(run))
     assert figures["ready_s"] is None
--- a/tests/fleetlab/test_slopes.py
+++ b/tests/fleetlab/test_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes: the fit, and what a verdict takes."""
+"""Tests of the fit of slopes and of their verdicts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
             "held_mb",
             {200: 1.2, 2000: 3.0, 10_000: 11.0, 20_000: 21.0},
             "missed",
-            id="line-beyond-the-limit",
+            id="line-exceeds-the-limit",
         ),
         pytest.param(
             "held_mb",
@@ -40,7 +40,7 @@
             "held_mb",
             {200: 1.0, 2000: 1.0, 10_000: 1.0, 20_000: 1.0, 50_000: None},
             "not known",
-            id="one-point-without-value",
+            id="one-point-without-a-value",
         ),
         pytest.param(
             "held_mb",
@@ -52,7 +52,7 @@
             "held_mb",
             {200: 20.0, 2000: 20.0, 10_000: 19.0, 20_000: 1.0},
             "met",
-            id="falls-below-zero-so-the-greatest-value-holds",
+            id="line-falls-below-zero-so-the-maximum-value-counts",
         ),
         pytest.param(
             "held_mb",
@@ -80,15 +80,15 @@
         ),
     ],
 )
-def test_a_verdict_promises_no_more_than_was_measured(
+def test_the_verdict_claims_no_more_than_the_measurements_support(
     figure: str, values: dict[int, float | None], verdict: str
 ) -> None:
     slopes = fit(make_results("backends", figure, values))
     assert [slope.verdict for slope in slopes] == [verdict]
 
 
-def test_a_known_line_is_found() -> None:
-    """1 MB and 1 KB an entry, extrapolated to five times the last measured point."""
+def test_the_fit_recovers_a_known_line() -> None:
+    """The line is 1 MB plus 1 KB per entry, extrapolated to five times the largest point."""
     values: dict[int, float | None] = {x: 1 + x / 1000 for x in (200, 2000, 10_000, 19_800)}
     (slope,) = fit(make_results("backends", "held_mb", values))
     assert (slope.points, slope.unmeasured, slope.verdict) == (4, 0, "missed")
@@ -99,6 +99,6 @@
     assert slope.worst_residual == pytest.approx(0.0, abs=1e-9)
 
 
-def test_the_worst_residual_is_the_greatest_distance_from_the_line() -> None:
+def test_the_worst_residual_is_the_maximum_distance_from_the_line() -> None:
     (slope,) = fit(make_results("backends", "held_mb", {0: 0.0, 10: 1.0, 20: 0.0, 30: 1.0}))
     assert slope.worst_residual == pytest.approx(0.6)
--- a/tests/fleetlab/test_synthetic_ingress.py
+++ b/tests/fleetlab/test_synthetic_ingress.py
@@ -1,4 +1,4 @@
-"""Synthetic ingresses that share a process."""
+"""Tests of synthetic ingresses that share a process."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_ingresses_of_one_process_have_separate_state() -> None:
-    """Neither a list nor a quota nor a count is taken from a neighbour."""
+    """An ingress must not change the list, the quota or the counts of another one."""
 
     async def scenario() -> None:
         spec = SyntheticSpec(
@@ -31,15 +31,15 @@
 
         for _ in range(4):
             one.simulate_request(5, 0)
-        # The quota of one ingress out of three that a customer's requests come to.
+        # The customer's requests come to 3 ingresses, each with a third of the burst of 6 units.
         assert (one.counts.sent, one.counts.rejected) == (2, 2)
         other.update_endpoints(update, addresses)
         other.simulate_request(5, 0)
         counts = other.counts
         assert (counts.arrived, counts.sent, counts.rejected) == (1, 1, 0)
 
-        gone = [replace(entry, state=EndpointStatus.GONE) for entry in update.entries[1:]]
-        one.update_endpoints(EndpointListUpdate(UpdateKind.CHANGES, gone, 5), {})
+        left_entries = [replace(entry, state=EndpointStatus.GONE) for entry in update.entries[1:]]
+        one.update_endpoints(EndpointListUpdate(UpdateKind.CHANGES, left_entries, 5), {})
         assert (len(one.addresses), len(other.addresses)) == (1, 9)
 
     run(scenario())
