--- a/sumacpost/counter/connection.py
+++ b/sumacpost/counter/connection.py
@@ -1,7 +1,7 @@
-"""One connection to the counter: pipelined calls, their replies, and two time-outs.
+"""One connection to the counter: pipelined calls, their replies, and two timeouts.
 
-A call that exceeds the call time-out is concluded, but its reply is still expected and is read when
-it arrives. A connection that exceeds the silence time-out, without any reply, is closed: its calls
+A call that exceeds the call timeout is concluded, but its reply is still expected and is read when
+it arrives. A connection that exceeds the silence timeout, without any reply, is closed: its calls
 are lost, and the client opens a new connection.
 """
 
@@ -25,7 +25,7 @@
 STABLE_AFTER_S = 0.2  # a connection of this age is replaced immediately when it is lost
 TIMER_TOLERANCE_S = 0.0005  # deadlines that are this close are handled by the same timer
 
-# Silence time-out of a connection with unreplied calls, unless the call time-out is longer:
+# Silence timeout of a connection with unreplied calls, unless the call timeout is longer:
 FIRST_REPLY_TIMEOUT_S = 0.25  # before the first reply; perhaps no process serves the connection
 SILENCE_LATENCY_FACTOR = 8.0  # after the first reply, multiple of the estimated reply latency
 MAX_SILENCE_S = 1.0  # upper limit of that multiple
@@ -50,7 +50,7 @@
 class ReplyLatency:
     """Estimates the latency of replies as a maximum that decays with each faster reply.
 
-    Replies that arrive after the call time-out are included.
+    Replies that arrive after the call timeout are included.
 
     Attributes:
         seconds: the estimate, 0 before the first reply.
@@ -128,7 +128,7 @@
         if self._retired and not self._waiting and self._transport is not None:
             self._transport.abort()
 
-    # ---- time-outs
+    # ---- timeouts
 
     def _call_deadline(self, call: CounterCall) -> float:
         return call.started_at + self._timeout_s
@@ -154,7 +154,7 @@
 
         A connection may no longer be served by any process although the counter is healthy. Such a
         connection must be closed, since calls on it are lost. If replies are delayed for longer
-        than the silence time-out while the counter does read the calls, calls whose amounts will be
+        than the silence timeout while the counter does read the calls, calls whose amounts will be
         added may be reported as lost.
         """
         self._timer = None
--- a/sumacpost/discovery/endpoint_list.py
+++ b/sumacpost/discovery/endpoint_list.py
@@ -1,7 +1,7 @@
 """Incremental parsing of endpoint lists, with memory use that doesn't grow with the fleet.
 
-A list is a JSON object: "rev" is its version, "all" tells a full list from changes to an earlier
-one, and "targets" is the array of its entries.
+A list is a JSON object: "rev" is its version, "all" is true for a full list and false for changes
+to an earlier one, and "targets" is the array of its entries.
 """
 
 from __future__ import annotations
--- a/sumacpost/discovery/start_times.py
+++ b/sumacpost/discovery/start_times.py
@@ -40,8 +40,8 @@
     def convert(self, update: EndpointListUpdate, live: bool) -> None:
         """Convert the start times of an update's entries in place.
 
-        live: whether an earlier list has come from discovery, so that the new starts in this update
-        are reported soon after they happened.
+        live: whether discovery has sent an earlier list to this process, so that the new starts in
+        this update are reported soon after they happened.
         """
         now = self._now_ms()
         if update.kind in (UpdateKind.FULL, UpdateKind.CACHED):
--- a/sumacpost/discovery/watch.py
+++ b/sumacpost/discovery/watch.py
@@ -37,13 +37,13 @@
 # The longest hold while the agent is unavailable: when it recovers, its changes are needed
 # immediately.
 RECOVERY_POLL_MS = 1
-# Time-out for the first bytes of a response after the hold, and for each further piece. It is
+# Timeout for the first bytes of a response after the hold, and for each further piece. It is
 # shorter where the grace period of a drain is short, so that the recovery of a silent agent is
 # noticed within the grace period.
 RESPONSE_TIMEOUT_S = 0.5
 RESPONSE_TIMEOUT_GRACE_FRACTION = 0.5
 MIN_RESPONSE_TIMEOUT_S = 0.1
-# Time-out for a complete response, extended by the time that the received bytes take at the minimum
+# Timeout for a complete response, extended by the time that the received bytes take at the minimum
 # rate. A response that trickles endlessly is abandoned in time for another poll within 6 s.
 TRANSFER_TIMEOUT_S = 3.0
 MIN_TRANSFER_BYTES_PER_S = 256 * 1024
--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -1,4 +1,4 @@
-"""The counter client: replies, time-outs, reconnects and malformed data."""
+"""The counter client: replies, timeouts, reconnects and malformed data."""
 
 from __future__ import annotations
 
--- a/tests/discovery/faults.py
+++ b/tests/discovery/faults.py
@@ -45,7 +45,7 @@
     "sent slowly without end": inject(lambda agent: agent.send_slowly),
     "complete, but no list": inject(lambda agent: send_bytes(INVALID_LIST, close=False)),
     "an error": inject(lambda agent: send_bytes(SERVER_ERROR, close=False)),
-    "after the time-out": inject(lambda agent: agent.respond_late),
+    "after the timeout": inject(lambda agent: agent.respond_late),
     "long polls ignored": inject(lambda agent: agent.ignore_long_polls),
 }
 
--- a/tests/upstream/test_connection_races.py
+++ b/tests/upstream/test_connection_races.py
@@ -230,7 +230,7 @@
 def test_connection_is_not_reused_while_a_second_response_may_arrive() -> None:
     """A second response would be taken for that to the next request.
 
-    Such responses came up to 4 ms after the first, on a clock with a resolution of 1 ms; an idle
+    Such responses arrived up to 4 ms after the first, on a clock with a resolution of 1 ms; an idle
     time of 7 ms is too short.
     """
 
--- a/tests/upstream/test_stalled_responses.py
+++ b/tests/upstream/test_stalled_responses.py
@@ -43,7 +43,7 @@
 def test_stalled_idempotent_request_is_hedged_long_before_its_deadline(
     cls: str, script: Any
 ) -> None:
-    """Without a hedged request, the ingress waited on one dead connection until the deadline."""
+    """Without a hedged request, the ingress waited on one silent connection until the deadline."""
 
     async def test() -> None:
         loop, fleet = asyncio.get_running_loop(), first_only(script)
