--- a/fleetlab/__init__.py
+++ b/fleetlab/__init__.py
@@ -1,1 +1,1 @@
-"""A scale run: synthetic and real ingresses before stand-in servers, and slopes of the figures."""
+"""The lab: measures synthetic and real ingresses with stand-in servers, and fits slopes."""
--- a/fleetlab/load_generator.py
+++ b/fleetlab/load_generator.py
@@ -11,7 +11,7 @@
 
 MAX_CONNECTIONS = 256
 REQUEST_TIMEOUT_S = 2.0
-TIMEOUT_GRACE_S = 1.0  # from the time-out of a request until the generator gives it up
+TIMEOUT_GRACE_S = 1.0  # from the time-out of a request until the generator stops waiting for it
 NO_RESPONSE = 0  # counted in place of a status
 
 
--- a/fleetlab/process_stats.py
+++ b/fleetlab/process_stats.py
@@ -70,4 +70,4 @@
     for line in path.read_text().splitlines():
         if line.startswith(name + ":"):
             return int(line.split()[1]) / KB_PER_MB
-    raise OSError(f"{path} has no {name}")
+    raise OSError(f"{path} has no field {name}")
