--- a/sumacpost/policy/attempt_rules.py
+++ b/sumacpost/policy/attempt_rules.py
@@ -35,7 +35,8 @@
 ) -> DenialReason | None:
     """Return why an attempt that has been started may not be written now, or None if it may.
 
-    ready: whether that backend is still listed as ready, in the incarnation that was chosen.
+    ready: whether the backend of the attempt is still listed as ready, in the incarnation that was
+        chosen.
     """
     if now >= request.deadline:
         return DenialReason.DEADLINE
@@ -64,7 +65,7 @@
 
 
 def _in_scope(request: PendingRequest, endpoint: Endpoint) -> bool:
-    """Return whether a backend recognizes the key of the attempt that may have run."""
+    """Return whether a backend recognizes the idempotency key of the attempt that may have run."""
     pinned_group = request.pinned_group
     is_global = pinned_group is None or pinned_group.scope is DeduplicationScope.ALL
     return is_global or pinned_group in zone_and_cell_groups(endpoint)
--- a/sumacpost/policy/connection_rules.py
+++ b/sumacpost/policy/connection_rules.py
@@ -9,8 +9,8 @@
 from enum import Enum
 
 
-class NotClosedReason(Enum):
-    """Why a connection may not be closed now; the values appear in the log."""
+class CloseDenialReason(Enum):
+    """Why a connection may not be closed now."""
 
     RESPONSE_OWED = "response_owed"
     REQUEST_READ = "request_read"  # read into the buffer, but not handled yet
@@ -35,16 +35,16 @@
     has_unread_input: bool
 
 
-def not_closed_reason(snapshot: ConnectionSnapshot) -> NotClosedReason | None:
+def close_denial_reason(snapshot: ConnectionSnapshot) -> CloseDenialReason | None:
     """Return why a connection may not be closed now, or None if it may."""
     if snapshot.responses_owed:
-        return NotClosedReason.RESPONSE_OWED
+        return CloseDenialReason.RESPONSE_OWED
     if snapshot.buffered_bytes:
-        return NotClosedReason.REQUEST_READ
+        return CloseDenialReason.REQUEST_READ
     if snapshot.has_partial_message:
-        return NotClosedReason.REQUEST_INCOMPLETE
+        return CloseDenialReason.REQUEST_INCOMPLETE
     if snapshot.has_unread_input:
-        return NotClosedReason.REQUEST_UNREAD
+        return CloseDenialReason.REQUEST_UNREAD
     return None
 
 
--- a/sumacpost/policy/fleet_estimate.py
+++ b/sumacpost/policy/fleet_estimate.py
@@ -9,7 +9,8 @@
 OBSERVATION_WEIGHT = 1 - PAST_WEIGHT
 # Weight of one response in unit_ms, and smallest weight of one request in the long-term mean work.
 UNIT_WEIGHT = 0.01
-# Bound on the relative error that a response shows in unit_ms: congestion must not raise unit_ms.
+# Bound on the relative error of unit_ms that a response shows, so that latency under congestion is
+# not taken for the usual time of a unit.
 MAX_UNIT_STEP = 1.0
 INITIAL_UNITS_PER_OBJECTIVE = 10  # units assumed to fit in the latency objective at the start
 MIN_UNITS = 0.01  # lower bound on the units of a request in the estimate of its work
--- a/sumacpost/policy/gateway.py
+++ b/sumacpost/policy/gateway.py
@@ -144,7 +144,7 @@
         self._actions += self.quota_sync.report_usage(now, request.customer, request)
 
     def _counter_replied(self, now: float, event: events.CounterReplied) -> None:
-        """Send or reject the request held for a reply, then report remaining use to the counter."""
+        """Send or reject the request held for a reply, then return unused units to the counter."""
         call = self.quota_sync.apply_reply(now, event, self.pending)
         if call is None:
             return
--- a/sumacpost/policy/load_balancing.py
+++ b/sumacpost/policy/load_balancing.py
@@ -119,7 +119,11 @@
         threshold: float,
         fleet_inflation: float,
     ) -> bool:
-        """Draw whether a request is sent, by the ratio of its expected wait to the threshold."""
+        """Draw whether a request is sent, by the ratio of its expected wait to the threshold.
+
+        For a first attempt that has a threshold, the ratio of its expected latency to the time left
+        until the objective deadline counts instead if that is higher.
+        """
         class_inflation = best.inflation_by_class[request.event.request_class].current(
             now, fleet_inflation
         )
@@ -137,8 +141,7 @@
         silence_ms = now - self._estimate.inflation.observed_at
         unused = not best.in_flight and request.work_ms < left_ms
         if excess > 1 and unused and silence_ms > PROBE_AFTER_SILENCE_MS:
-            return (
-                True  # with all requests rejected, no response would show the end of the overload
-            )
+            # With all requests rejected, no response would show the end of the overload.
+            return True
         admission_probability: float = excess**-SHEDDING_EXPONENT
         return self._random.random() <= admission_probability
--- a/sumacpost/policy/quota.py
+++ b/sumacpost/policy/quota.py
@@ -12,7 +12,7 @@
 SHARE_INTERVAL_MS = 1000.0  # shortest time between two changes of a share
 # Fraction of the burst above which the shared balance is enough for all gateways.
 AMPLE_BALANCE_FRACTION = 0.9
-LOW_BALANCE_FRACTION = 0.25  # fraction of the burst below which the shared balance is over-used
+LOW_BALANCE_FRACTION = 0.25  # fraction of the burst; the quota is over-used if less is left
 # Refill assumed for the balance between counter calls, as a fraction of the plan's rate; it is
 # multiplied by the counter call rate.
 ASSUMED_REFILL_FRACTION = 0.15
@@ -30,6 +30,8 @@
 class CustomerQuota:
     """One customer's quota at this gateway, and the return queue of its rejected clients.
 
+    Times are in ms.
+
     Attributes:
         plan: the customer's plan.
         gateway_spread: the number of gateways that get the customer's requests.
@@ -43,9 +45,9 @@
         tokens: units in the bucket.
         ceiling_tokens: units left of this gateway's part of the ceiling.
         shared_balance: units left of the whole quota, by the counter's last reply.
-        balance_observed_at: the time of that reply.
+        balance_observed_at: the time of the reply that shared_balance is from.
         adjusted_at: the time at which the share was last adjusted.
-        exhausted: whether bucket or ceiling lacked units since then.
+        exhausted: whether bucket or ceiling has lacked units since adjusted_at.
         return_queue: the return queue of the customer's rejected clients.
     """
 
@@ -142,7 +144,7 @@
         reported_units: the units of use that the call added.
         age_ms: how long the name has been in use.
 
-        Return the units by which the name's total is too low: its balance above the limit.
+        Return the units by which the name's total is too low, as its balance exceeds the limit.
         """
         plan = self.plan
         balance = plan.burst - previous_total + age_ms / 1000 * plan.rate
--- a/sumacpost/policy/quota_sync.py
+++ b/sumacpost/policy/quota_sync.py
@@ -21,7 +21,7 @@
 CALL_RATE_DECREASE = 0.7  # factor applied for a late or missing reply
 CALL_RATE_INCREASE = 0.04  # added for a prompt reply
 MIN_RETURN_CALL_RATE = 0.9  # below this call rate, no units are returned to an empty balance
-LATE_REPLY_FRACTION = 0.8  # a reply slower than this fraction of the time-out shows congestion
+LATE_REPLY_FRACTION = 0.8  # a reply slower than this fraction of the timeout shows congestion
 HASH_FACTOR = 2654435761  # Knuth's multiplicative hash; spreads the times of name changes
 
 
@@ -44,7 +44,8 @@
         correction: units added to correct the name's total.
         request: the request held for the reply, if any.
         grant: after the reply, why the request passes the quota; None: it is rejected.
-        surplus: after the reply, the units that the name's total lacks; None: unknown.
+        surplus: after the reply, the units that the name's total lacks, as the balance that it
+            gives is too high; negative: the total is too high; None: unknown.
     """
 
     customer: CustomerQuota
@@ -141,13 +142,13 @@
         return call
 
     def report_after_reply(self, now: float, call: CounterCall) -> Actions:
-        """Return units that are left over after a reply, and correct the name's total."""
+        """Return unused units to the counter after its reply, and correct the name's total."""
         customer = call.customer
         if call.surplus is None:
             return []
         actions = self.report_usage(now, customer) if customer.unreported_units <= 0 else []
         if abs(call.surplus) > MAX_DRIFT_FRACTION * customer.plan.burst:
-            # If two gateways correct a total at once, the later one undoes its correction.
+            # If two gateways correct a total at the same time, the later one undoes its correction.
             reported_units = min(call.surplus, 0.0)
             correction = max(call.surplus, 0.0)
             actions.append(self._call(now, CounterCall(customer, reported_units, correction, None)))
--- a/sumacpost/policy/return_queue.py
+++ b/sumacpost/policy/return_queue.py
@@ -1,9 +1,9 @@
-"""The virtual queue of rejected clients of DIBA, with the names of the paper's Algorithm 6."""
+"""The virtual queue of rejected clients from DIBA, with names as in Algorithm 6 of its paper."""
 
 from collections import deque
 from math import sqrt
 
-# Bound on the wait: clients that retry at once would make the queue grow without limit.
+# Bound on the wait: otherwise clients that retry at once make the queue grow without limit.
 MAX_WAIT_MS = 10_000.0
 
 
--- a/sumacpost/policy/service_time.py
+++ b/sumacpost/policy/service_time.py
@@ -32,8 +32,8 @@
     def upper_bound_ms(self, gateways: int) -> float:
         """Return the time of a request of mean work, with a margin for few observations, in ms.
 
-        gateways: the number of gateways that share the decision based on it. Their errors partly
-            cancel out, as each gateway has its own observations.
+        gateways: the number of gateways that share a budget based on it. Their errors partly cancel
+            out, as each gateway has its own observations.
         """
         return self._mean_ms * (1 + MARGIN_DEVIATIONS / sqrt(self._observations * gateways))
 
--- a/sumacpost/policy/slow_start.py
+++ b/sumacpost/policy/slow_start.py
@@ -9,7 +9,7 @@
 from sumacpost.policy.slow_start_budget import gateway_share, window_units
 from sumacpost.policy.subsetting import UINT64_MASK, splitmix64
 
-# Safety factor on the capacity of a warm backend or a core, as this backend may be a slower one.
+# Safety factor on the capacity of a warm backend or a core: the one warming up may be slower.
 OVERLOAD_SAFETY_FRACTION = 0.8
 ROUNDING_REQUESTS = 0.5  # requests of mean work by which a share may be exceeded
 ARRIVAL_SPREAD_MS = 50.0  # attempts may arrive closer together by this than they were sent
@@ -32,7 +32,7 @@
         self._first_event_at = min(self._first_event_at, now)
 
     def admits(self, now: float, backend: Backend, work_ms: float) -> bool:
-        """Return whether a backend is warm, or this gateway's share of its budget covers the work.
+        """Return whether the backend is warm, or its budget has room for the work at this gateway.
 
         The share may be exceeded by half a request of mean work, so that a share of one request can
         also be used for requests larger than the mean.
@@ -62,8 +62,9 @@
     def _budget_may_be_spent(self, now: float, backend: Backend) -> bool:
         """Return whether this gateway may have spent the budget before it was restarted.
 
-        This is impossible if the backend has started since then. If no backend is warm, all have
-        started together and there is no other backend to send to, so the budget counts as unspent.
+        This is impossible if the backend has started after this gateway. If no backend of the
+        subset is warm, all have started together and there is no other one to send to, so the
+        budget counts as unspent.
         """
         if now - self._first_event_at >= self._window_ms:
             return False
@@ -98,11 +99,12 @@
         return backend.slow_start_share
 
     def _expected_requests(self, capacity_fraction: float, gateways: int) -> float:
-        """Return N of slow_start_budget for a backend, or less.
+        """Return N as defined in slow_start_budget for a backend, or less.
 
-        It is based on the load reports of warm backends, or on the capacity of one core if that is
-        more or there are no reports. The backend's own reports are not used: each covers only a few
-        requests and may show ten times its capacity.
+        N is without the allowance for random variation. It is based on the load reports of warm
+        backends, or on the capacity of one core if that is more or there are no reports. The
+        backend's own reports are not used: each covers only a few requests and may show ten times
+        its capacity.
         """
         settings = self._settings
         service_ms = self._estimate.service_time.upper_bound_ms(gateways)
--- a/sumacpost/policy/slow_start_budget.py
+++ b/sumacpost/policy/slow_start_budget.py
@@ -7,10 +7,11 @@
 
     sent by all gateways that know of the start  <=  2/3 * bound(N)    N: at the start of the window
 
-has to be true. It is if each gateway stays within its share in every window, wherever that starts,
-and the shares add up to no more than this. `units` are assigned for periods of the window's length,
-in whole requests: each gateway gets units // gateways, and units % gateways of them, drawn for each
-period, get one more. A window overlaps two periods and may contain the extra requests of both:
+has to be true. This is so if each gateway stays within its share in every window, wherever that
+starts, and the shares add up to no more than this bound. `units` are assigned for periods of the
+window's length, in whole requests: each gateway gets units // gateways, and units % gateways of
+them, drawn again for each period, get one more. A window overlaps two periods and may contain the
+extra requests of both:
 
     sum of shares in any window  <=  units + units % gateways
 """
@@ -26,8 +27,9 @@
 def tolerated_requests(expected: float) -> float:
     """Return the requests of mean work that a backend tolerates in a window: bound(N).
 
-    expected: N or less. From SMALL_WINDOW_REQUESTS on the allowance is smaller. As N may be in that
-        range, a smaller `expected` never gives more than the bound at its start.
+    expected: N or less. The allowance for random variation is smaller if N is SMALL_WINDOW_REQUESTS
+        or more, which it may be even if `expected` is less. So a smaller `expected` never gives
+        more than bound(SMALL_WINDOW_REQUESTS).
     """
     at_least_small = max(expected, SMALL_WINDOW_REQUESTS)
     tolerated = at_least_small + 2 * sqrt(at_least_small) + 2
--- a/sumacpost/policy/subsetting.py
+++ b/sumacpost/policy/subsetting.py
@@ -10,9 +10,9 @@
 MIN_SUBSET_SIZE = 3  # fewest backends of a gateway, and fewest gateways of a backend
 MAX_CANDIDATES = 16  # backends compared for one attempt
 # Bound on a gateway's number of backends, relative to the mean. With a value closer to 1, one
-# change of the list changes many other pairs.
+# change of the list changes many other pairs of a gateway and a backend.
 MAX_LOAD_FACTOR = 1.05
-# Attempts after which a backend may have one more gateway than the mean.
+# Draws for one gateway after which a backend may have one more gateway than the mean.
 RELAXATION_ATTEMPTS = 16
 MAX_PARTITION_BACKENDS = 1024
 MIN_PARTITION_GATEWAYS = 32
@@ -82,7 +82,7 @@
     """The subsets of all gateways of a shard."""
 
     subsets: list[list[int]]  # backends by gateway
-    gateway_counts: dict[int, int]  # number of gateways in the shard, by backend
+    gateway_counts: dict[int, int]  # number of gateways of the shard, by backend
 
 
 class Subset:
@@ -205,7 +205,7 @@
         return Assignment(subsets, gateway_counts)
 
     def _fill_up(self, assignment: Assignment, mean_gateways: float, min_size: int) -> None:
-        """Add backends to gateways with fewer than min_size, preferring those with few gateways."""
+        """Add backends to gateways with fewer than min_size, first backends of few gateways."""
         gateway_counts = assignment.gateway_counts
         for gateway, subset in enumerate(assignment.subsets):
             draw = gateway
--- a/sumacpost/server/connection.py
+++ b/sumacpost/server/connection.py
@@ -14,10 +14,10 @@
 from sumacpost.errors import RequestError
 from sumacpost.http1 import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from sumacpost.policy.connection_rules import (
+    CloseDenialReason,
     ConnectionSnapshot,
-    NotClosedReason,
+    close_denial_reason,
     is_last_response,
-    not_closed_reason,
 )
 from sumacpost.server.close_reason import CloseReason
 from sumacpost.server.connection_registry import ConnectionRegistry
@@ -170,9 +170,9 @@
         """Return whether the client has disconnected, even if the loop has not detected it yet."""
         return peer_has_disconnected(self._sock)
 
-    def not_closed_reason(self) -> NotClosedReason | None:
+    def close_denial_reason(self) -> CloseDenialReason | None:
         """Return why the connection may not be closed now, or None if it may."""
-        return not_closed_reason(
+        return close_denial_reason(
             ConnectionSnapshot(
                 responses_owed=len(self._pending_responses),
                 buffered_bytes=self._buffered_bytes,
--- a/sumacpost/server/connection_protocols.py
+++ b/sumacpost/server/connection_protocols.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol, TypeVar
 
-from sumacpost.policy.connection_rules import NotClosedReason
+from sumacpost.policy.connection_rules import CloseDenialReason
 from sumacpost.server.close_reason import CloseReason
 
 
@@ -14,7 +14,7 @@
     def has_disconnected(self) -> bool:
         """Return whether the client has disconnected, even if the loop has not detected it yet."""
 
-    def not_closed_reason(self) -> NotClosedReason | None:
+    def close_denial_reason(self) -> CloseDenialReason | None:
         """Return why the connection may not be closed now, or None if it may."""
 
     def on_request_timeout(self, reason: CloseReason) -> None:
--- a/sumacpost/server/connection_registry.py
+++ b/sumacpost/server/connection_registry.py
@@ -9,7 +9,7 @@
 from math import inf
 from typing import Generic
 
-from sumacpost.policy.connection_rules import NotClosedReason
+from sumacpost.policy.connection_rules import CloseDenialReason
 from sumacpost.server.close_reason import CloseReason
 from sumacpost.server.connection_protocols import ConnectionType
 from sumacpost.server.connection_queue import ConnectionQueue
@@ -33,7 +33,7 @@
 # How many connections of a queue are examined for one to evict.
 MAX_EVICTION_EXAMINED = 8
 # A connection may be evicted if it has no request at all, or only an incomplete one.
-_EVICTABLE_REASONS = frozenset((None, NotClosedReason.REQUEST_INCOMPLETE))
+_EVICTABLE_REASONS = frozenset((None, CloseDenialReason.REQUEST_INCOMPLETE))
 
 log = logging.getLogger(__name__)
 
@@ -170,7 +170,7 @@
         to send the request again, on a new connection that may not be available.
         """
         while (expired := self.idle.oldest(before)) is not None:
-            if expired.not_closed_reason() is None:
+            if expired.close_denial_reason() is None:
                 self._close_idle_connection(expired, reason)
             else:
                 self.idle.add(expired)
@@ -192,7 +192,7 @@
         before: in monotonic seconds.
         """
         while (expired := self.waiting.oldest(before)) is not None:
-            if expired.not_closed_reason() is NotClosedReason.REQUEST_UNREAD:
+            if expired.close_denial_reason() is CloseDenialReason.REQUEST_UNREAD:
                 self.waiting.add(expired)
                 continue
             self.waiting.discard(expired)
@@ -226,6 +226,6 @@
     for connection in islice(queue, MAX_EVICTION_EXAMINED):
         if not queue.added_before(connection, before):
             return None
-        if connection.not_closed_reason() in _EVICTABLE_REASONS:
+        if connection.close_denial_reason() in _EVICTABLE_REASONS:
             return connection
     return None
--- a/tests/policy/test_attempt_rules.py
+++ b/tests/policy/test_attempt_rules.py
@@ -71,8 +71,8 @@
 def test_a_keyed_request_is_repeated_only_if_it_arrives_within_the_window() -> None:
     _, pending = sent_request(KEYED_CELL_CLASS)
     pending.record_possible_execution(0, START_MS)
-    reach_ms = SETTINGS.connect_timeout_ms + ARRIVAL_MARGIN_MS
-    last = START_MS + KEYED_CELL_CLASS.deduplication_window_ms - reach_ms
+    arrival_ms = SETTINGS.connect_timeout_ms + ARRIVAL_MARGIN_MS
+    last = START_MS + KEYED_CELL_CLASS.deduplication_window_ms - arrival_ms
     assert repeat_denial_reason(last - 1, pending, SETTINGS) is None
     assert repeat_denial_reason(last, pending, SETTINGS) is DenialReason.WINDOW_OVER
 
--- a/tests/policy/test_connection_rules.py
+++ b/tests/policy/test_connection_rules.py
@@ -5,10 +5,10 @@
 import pytest
 
 from sumacpost.policy.connection_rules import (
+    CloseDenialReason,
     ConnectionSnapshot,
-    NotClosedReason,
+    close_denial_reason,
     is_last_response,
-    not_closed_reason,
 )
 
 
@@ -16,16 +16,16 @@
     ("snapshot", "reason"),
     [
         (ConnectionSnapshot(0, 0, False, False), None),
-        (ConnectionSnapshot(1, 5, True, True), NotClosedReason.RESPONSE_OWED),
-        (ConnectionSnapshot(0, 5, True, True), NotClosedReason.REQUEST_READ),
-        (ConnectionSnapshot(0, 0, True, True), NotClosedReason.REQUEST_INCOMPLETE),
-        (ConnectionSnapshot(0, 0, False, True), NotClosedReason.REQUEST_UNREAD),
+        (ConnectionSnapshot(1, 5, True, True), CloseDenialReason.RESPONSE_OWED),
+        (ConnectionSnapshot(0, 5, True, True), CloseDenialReason.REQUEST_READ),
+        (ConnectionSnapshot(0, 0, True, True), CloseDenialReason.REQUEST_INCOMPLETE),
+        (ConnectionSnapshot(0, 0, False, True), CloseDenialReason.REQUEST_UNREAD),
     ],
 )
 def test_a_connection_is_closed_only_without_received_or_unanswered_requests(
-    snapshot: ConnectionSnapshot, reason: NotClosedReason | None
+    snapshot: ConnectionSnapshot, reason: CloseDenialReason | None
 ) -> None:
-    assert not_closed_reason(snapshot) is reason
+    assert close_denial_reason(snapshot) is reason
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -31,9 +31,9 @@
 
 
 def test_one_timed_out_attempt_inflates_the_fleet_little() -> None:
-    """Guard against a gateway that rejects all requests for seconds after one time-out.
+    """Guard against a gateway that rejects all requests for seconds after one timeout.
 
-    The time-out took 25 times the usual latency, and the estimate for the fleet followed it.
+    The timeout took 25 times the usual latency, and the estimate for the fleet followed it.
     """
     g = gateway(plans=(NO_QUOTA,))
     send = only_action(Send, g.handle(START_MS, request_arrived(1)))
--- a/tests/policy/test_quota_sync.py
+++ b/tests/policy/test_quota_sync.py
@@ -317,9 +317,8 @@
                 g.handle(START_MS, attempt_ended(number, send.backend))
         return calls
 
-    assert (
-        count_calls(range(200), Outcome.TIMEOUT, units=4.0) < 40
-    )  # calls until the first time-outs
+    # Calls until the first timeouts.
+    assert count_calls(range(200), Outcome.TIMEOUT, units=4.0) < 40
     assert count_calls(range(1000, 1200), Outcome.TIMEOUT, units=4.0) < 20
     count_calls(range(2000, 9000), Outcome.OK)
     assert g.quota_sync.counter_call_rate == 1.0
--- a/tests/support/fleet_simulation.py
+++ b/tests/support/fleet_simulation.py
@@ -44,7 +44,7 @@
 NETWORK_MS = 1.0  # mean one-way latency
 REPORT_ERROR = 0.1  # largest relative error of the throughput in a load report
 REPORT_FIELDS = ("backlog", "throughput", "utilization")
-QUEUE_PER_CORE = 20
+QUEUE_PER_CORE = 20  # longest queue of a backend, in requests per core
 MAX_EVENTS = 300_000  # far more than any of the tests needs
 
 
--- a/tests/support/simulated_backend.py
+++ b/tests/support/simulated_backend.py
@@ -66,7 +66,7 @@
         number: the number of the request.
         gateway: the index of the gateway that gets it.
         expected_work: the expected work by its class and units, which gateways know.
-        actual_work: the random work that a backend has with it.
+        actual_work: the work that a backend actually has to do, drawn at random.
         attempts: the number of attempts sent.
         backend: the backend of the latest attempt.
         sent_at: the time at which the latest attempt was sent.
@@ -146,7 +146,7 @@
     def load_report(self, now: float, error_factor: float) -> tuple[float, ...]:
         """Return backlog, throughput and utilization, updated at most once in REPORT_INTERVAL_MS.
 
-        error_factor: the relative error of the throughput.
+        error_factor: the reported throughput as a multiple of the actual one.
         """
         self.change_busy_cores(now, 0)
         elapsed = now - self.measured_at
@@ -186,9 +186,10 @@
         return peak_load
 
     def peak_notified_window_load(self) -> float:
-        """Return the highest load from gateways that knew of the start, in any such window.
+        """Return the highest load from gateways that knew of the start, in any window.
 
-        The load is relative to the overload threshold of the rule on slow start.
+        Windows start while the backend is cold. The load is relative to the overload threshold of
+        the rule on slow start.
         """
         notified = [
             (received_at, request.expected_work)
@@ -206,7 +207,7 @@
         return peak_load
 
     def _overload_threshold(self, now: float) -> float:
-        """Return the requests of mean work above which it fails in a window from now on."""
+        """Return the requests of mean work in a window from now on that overload the backend."""
         per_ms = self.throughput(now)
         expected = self.scenario.overload_factor * per_ms * self.scenario.overload_window_ms
         if expected < SMALL_WINDOW_REQUESTS:
