--- a/fleetlab/__init__.py
+++ b/fleetlab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: measures synthetic and real ingresses with stand-in servers, and fits slopes."""
+"""The lab: measures synthetic and real ingresses, fits slopes, and runs the soak."""
--- a/fleetlab/command.py
+++ b/fleetlab/command.py
@@ -48,7 +48,7 @@
 
 TABLE_WIDTH = 200  # columns, if standard output is not a terminal
 
-EXIT_USAGE = 2
+EXIT_FAILURE = 2  # an error in the usage or in the run
 EXIT_ABORTED = 130
 EXIT_SIGNAL_BASE = 128
 
@@ -73,7 +73,7 @@
 def sweep(
     out: Path, axes: tuple[str, ...], points: tuple[int, ...], seconds: float, seed: int
 ) -> None:
-    """Measure a grid of sizes with synthetic ingresses; write each result once it is measured."""
+    """Measure a grid of sizes with synthetic ingresses; write each result immediately."""
     grid = make_grid(axes, points)
     out.mkdir(parents=True, exist_ok=True)
     commit = current_commit()
@@ -112,7 +112,7 @@
     "--backends",
     default=200,
     type=click.IntRange(1, MAX_POINTS["backends"]),
-    help="Backends in the list of discovery.",
+    help="Number of backends listed by discovery.",
 )
 @click.option(
     "--mode",
@@ -124,13 +124,13 @@
     "--seconds",
     default=10.0,
     type=SECONDS_RANGE,
-    help="Maximum time until ready; also the duration of the load without the drain.",
+    help="Maximum time until ready; the load also lasts this long, plus the time of the drain.",
 )
 @click.option(
     "--known",
     default=0,
     type=click.IntRange(0, MAX_POINTS["backends"]),
-    help="Backends listed in the configuration file.",
+    help="Number of backends listed in the configuration file.",
 )
 @click.option(
     "--index",
@@ -312,5 +312,6 @@
 
 
 def _print_error(message: str) -> int:
+    """Print the message as one line on standard error; return the exit code."""
     print("fleetlab: " + " ".join(message.split()), file=sys.stderr)
-    return EXIT_USAGE
+    return EXIT_FAILURE
--- a/fleetlab/command_options.py
+++ b/fleetlab/command_options.py
@@ -73,7 +73,7 @@
 
 
 def make_grid(axes: Sequence[str], points: Sequence[int]) -> list[GridPoint]:
-    """Return the points of a sweep, by default on all axes and with the default sizes of each.
+    """Return the points of a sweep, by default on all axes and with the default sizes of each axis.
 
     Raise UsageError if sizes are given without exactly one axis, or if one is out of range.
     """
--- a/fleetlab/pairs.py
+++ b/fleetlab/pairs.py
@@ -110,7 +110,8 @@
     """The figures of one scheme at one fleet size.
 
     They count pairs, users (the gateways that have a given backend in their subset) and kept
-    backends (those in the subset of a given gateway).
+    backends (those in the subset of a given gateway). All but new_pairs_mean and new_pairs_most
+    describe the fleet before any backend is replaced.
     """
 
     scheme: str
@@ -124,7 +125,7 @@
     kept_least: int
     kept_mean: float
     kept_most: int
-    left_least: float  # least share of a subset that is left if its largest zone fails
+    left_least: float  # least share of a subset left if the zone with most of its backends fails
 
 
 def measure(
--- a/fleetlab/real.py
+++ b/fleetlab/real.py
@@ -1,4 +1,4 @@
-"""The measurement of one real ingress process with stand-in servers of the plan's size."""
+"""The measurement of one real ingress process with stand-in servers and a list of any size."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
     A figure is None if it could not be measured. If the ingress never becomes ready, the figures of
     requests are left out, and its memory, CPU time, stalls of health checks, polls and the bytes
-    written by discovery are measured. These bytes are counted from the time at which the ingress
-    was ready, or began to listen if it never was ready. They are bytes handed to the system: if the
-    ingress does not read a list to its end, they are more than the bytes that it has read.
+    written by discovery are measured. CPU time, polls and bytes are counted from the time at which
+    the ingress was ready, or began to listen if it never was ready. The bytes are those handed to
+    the system: if the ingress does not read a list to its end, they are more than it has read.
     Raise RuntimeError if the ingress exits before it listens, TimeoutError if it does not listen in
     time, and MemoryLimitError if the machine's memory doesn't suffice.
     """
@@ -39,7 +39,7 @@
     """Return the figures of a run, compared with those of an earlier run with 200 listed backends.
 
     peak_200_mb is the peak memory of that earlier run, which is made first. peak_over_200_mb is the
-    peak memory that the longer list adds.
+    peak memory that the longer list adds; None if the ingress never became ready.
     """
     baseline_run = replace(
         run,
--- a/fleetlab/real_environment.py
+++ b/fleetlab/real_environment.py
@@ -23,7 +23,8 @@
 
     backends: int  # listed by discovery
     mode: ResponseMode = ResponseMode.GOOD
-    seconds: float = 10.0  # maximum time until ready; also duration of the load without the drain
+    # Maximum time until ready. The load also lasts this long, plus real_session.DRAIN_WATCH_S.
+    seconds: float = 10.0
     seed: int = 0
     index: int = 0  # of the ingress among the gateways
     known: int = 0  # backends listed in the configuration of the ingress
--- a/fleetlab/real_session.py
+++ b/fleetlab/real_session.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Usage:
-    """The resources used by the ingress until one time."""
+    """The resources that the ingress had used at one point in time."""
 
     at_s: float
     cpu_s: float
@@ -131,7 +131,7 @@
         self._add_load_figures(load, direct_load, lag)
 
     async def _resize_backends(self) -> None:
-        """Change the capacity hints of random backends, one at a time; nothing else changes."""
+        """Change the capacity hints of random backends, one at a time; subsets stay the same."""
         random = Random(self._run.seed)
         due_at = self._loop.time()
         while True:
@@ -188,7 +188,7 @@
 
 
 async def _wait_for_address(ingress: ChildProcess) -> str:
-    """Return the address of the ingress; RuntimeError with its last output if it exits instead."""
+    """Return the address of the ingress; RuntimeError with its last output line if it exits."""
     async with asyncio.timeout(START_TIMEOUT_S):
         while True:
             for line in list(ingress.stderr_lines):
@@ -217,11 +217,12 @@
 
 
 async def _measure_drain(discovery: DiscoveryServer, backends: BackendServers) -> Figures:
-    """Set all backends of the busiest port to draining, and count the requests that follow.
+    """Set all backends of the busiest port to draining for DRAIN_WATCH_S; count its requests.
 
     in_force_s is the time from the change to the last request. It is None if the requests did not
-    stop, or if no port received any. leaving_entries is the number of changed entries, since many
-    share a port. sent_to_leaving is the number of requests after the change.
+    stop, or if no port received any. leaving_entries is the number of changed entries, of which
+    there can be many, since entries share ports. sent_to_leaving is the number of requests after
+    the change.
     """
     loop = asyncio.get_running_loop()
     counts = backends.request_counts
--- a/fleetlab/results.py
+++ b/fleetlab/results.py
@@ -14,7 +14,8 @@
 
 GIT_TIMEOUT_S = 10
 
-Figures = dict[str, float | None]  # by name, which ends in the unit; None: could not be measured
+# Figures by name, which ends in the unit if there is one. None: could not be measured.
+Figures = dict[str, float | None]
 
 
 class Machine(msgspec.Struct, frozen=True):
--- a/fleetlab/site.py
+++ b/fleetlab/site.py
@@ -46,8 +46,8 @@
     """Return the configuration of one ingress as JSON text; times are in ms.
 
     The ingress listens on a loopback port chosen by the system. discovery, counter: host and port;
-    an empty text means no counter. burst: the burst of the only plan in units, and its quota
-    in units per second. known: entries of the last known endpoint list.
+    an empty text means no counter. burst: the burst of the only plan in units, and its quota in
+    units per second. known: entries of the last known endpoint list.
     """
     config: JsonObject = {
         "name": f"n{index}",
--- a/tests/fleetlab/test_command.py
+++ b/tests/fleetlab/test_command.py
@@ -127,7 +127,7 @@
 def test_an_interrupt_terminates_all_started_processes(
     arguments: list[str], signum: int, processes: int, tmp_path: Path
 ) -> None:
-    """An interrupted run must not leave processes behind; its exit code names the signal."""
+    """An interrupted run must not leave processes behind; it exits with 128 plus the signal."""
     command = subprocess.Popen(
         [sys.executable, "-m", "fleetlab", *arguments, "--out", str(tmp_path)],
         cwd=ROOT,
@@ -147,7 +147,7 @@
 
 
 def wait_for_children(pid: int, count: int) -> list[int]:
-    """Wait until a process has this many children or the time-out has elapsed; return their ids."""
+    """Wait until a process has this many children or the timeout has elapsed; return their ids."""
     end = time.monotonic() + START_TIMEOUT_S
     children = child_pids(pid)
     while len(children) < count and time.monotonic() < end:
--- a/tests/fleetlab/test_real.py
+++ b/tests/fleetlab/test_real.py
@@ -16,7 +16,7 @@
     monkeypatch.setattr("fleetlab.real_session.DRAIN_WATCH_S", 1.5)
 
 
-def test_a_real_ingress_serves_and_applies_a_drain() -> None:
+def test_a_real_ingress_serves_while_a_backend_drains() -> None:
     run = RealRun(backends=20, seconds=0.5, seed=1, rate=50.0)
     figures = asyncio.run(real.measure(run))
     assert figures["served"]
