--- a/fleetlab/counter_server.py
+++ b/fleetlab/counter_server.py
@@ -50,8 +50,8 @@
     """Serves totals by name on a loopback port chosen by the system.
 
     rate: additions per second of all shards together. max_wait_s: an addition whose reply would be
-    due later than this is rejected with -BUSY and adds nothing. Raise ValueError if the rate is not
-    positive or there is no shard.
+    due more than this time after the call is rejected with -BUSY and adds nothing. Raise ValueError
+    if the rate is not positive or there is no shard.
     """
 
     def __init__(self, rate: float = 100_000.0, shards: int = 4, max_wait_s: float = 0.2) -> None:
--- a/fleetlab/discovery_server.py
+++ b/fleetlab/discovery_server.py
@@ -14,7 +14,7 @@
 from fleetlab.versioned_list import JsonObject, VersionedList
 
 LIST_PATH = "/v1/servers"
-CHUNK_BYTES = 64 * 1024  # largest single write, and size of the send buffer
+CHUNK_BYTES = 64 * 1024  # of a body per write; also the size of the send buffer
 MAX_HOLD_MS = 60_000
 OVERSIZED_BYTES = 256 * 1024 * 1024  # Content-Length of a list that no reader should read in full
 NESTING_DEPTH = 200_000  # of arrays
--- a/fleetlab/load_generator.py
+++ b/fleetlab/load_generator.py
@@ -11,20 +11,21 @@
 
 MAX_CONNECTIONS = 256
 REQUEST_TIMEOUT_S = 2.0
-TIMEOUT_GRACE_S = 1.0  # from the time-out of a request until the generator stops waiting for it
+TIMEOUT_GRACE_S = 1.0  # from the timeout of a request until the generator stops waiting for it
 NO_RESPONSE = 0  # counted in place of a status
 
 
 class LoadGenerator:
-    """Sends requests of many customers at a mean rate, with exponential intervals from a seed.
+    """Sends requests of many customers at a mean rate, at exponentially distributed intervals.
 
     The latency of a response with status 200 is measured from the scheduled time of its request.
     A stall therefore shows in the latency of all requests that it delays, including those that are
     sent late because of it. `statuses` counts the requests by the status of their response, or as
     NO_RESPONSE.
 
-    address: host and port. rate: requests per second. first_gateway, gateway_spread: the gateways
-    that a request names as the receivers of its customer's requests.
+    address: host and port. rate: requests per second. seed: determines the intervals, the customers
+    and the ids of the requests. first_gateway, gateway_spread: index of the first gateway that
+    receives a customer's requests, and number of such gateways, as each request states them.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         self._open_requests: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
-        """Send for this long, wait for the outstanding responses, and close all connections."""
+        """Send for `seconds`, wait for the outstanding responses, and close all connections."""
         loop = asyncio.get_running_loop()
         intended_at = loop.time()
         end = intended_at + seconds
--- a/fleetlab/path_proxy.py
+++ b/fleetlab/path_proxy.py
@@ -16,7 +16,7 @@
 
     NONE = "none"
     DELAYED = "delayed"  # data is forwarded after a delay
-    SILENT = "silent"  # nothing is forwarded; open connections are reset at its end
+    SILENT = "silent"  # nothing is forwarded; open connections are reset when the fault ends
     RESET = "reset"  # open connections and new ones are reset
     HALF_CLOSED = "half closed"  # only the direction to the target is forwarded
 
@@ -45,8 +45,8 @@
     def set_fault(self, fault: PathFault) -> None:
         """Replace the current fault of the path; NONE ends it.
 
-        HALF_CLOSED sends the end of the stream to the clients of open connections. Clients that
-        connect later receive no data and no end of the stream.
+        HALF_CLOSED sends the end of the stream to the clients of open connections. It is not sent
+        to clients that connect later; they receive no data.
         """
         was_silent = self._fault is PathFault.SILENT
         self._fault = fault
--- a/fleetlab/processes.py
+++ b/fleetlab/processes.py
@@ -11,7 +11,7 @@
 
 MAX_PROCESSES = 300
 TERMINATION_GRACE_S = 6.0  # from SIGTERM to SIGKILL
-MAX_OUTPUT_LINES = 500  # kept of each output of a process
+MAX_OUTPUT_LINES = 500  # kept of standard output and of standard error, per process
 
 
 class ChildProcess:
--- a/fleetlab/sweep.py
+++ b/fleetlab/sweep.py
@@ -26,7 +26,7 @@
 MEASURE_POLL_S = 0.5
 REPORT_MARGIN_S = 1.5  # longer than the interval between reports
 PROCESS_MARGIN_S = 30.0  # beyond the end of the run, after which an orphaned process exits
-DEFAULT_BACKENDS = 200  # on the other axes
+DEFAULT_BACKENDS = 200  # on all axes other than "backends"
 INGRESSES_PER_PROCESS = 40
 
 # Estimated memory, for the check before a run.
@@ -192,7 +192,7 @@
 
 
 async def _wait_until_ready(fleet: _Fleet) -> None:
-    """Wait until all ingresses are ready, a process has exited or the time-out has elapsed."""
+    """Wait until all ingresses are ready, a process has exited or the timeout has elapsed."""
     loop = asyncio.get_running_loop()
     end = loop.time() + READY_TIMEOUT_S
     while loop.time() < end and not fleet.ready and fleet.running:
--- a/fleetlab/sweep_figures.py
+++ b/fleetlab/sweep_figures.py
@@ -29,7 +29,8 @@
     ingresses: int
     backends: int
     changes_expected: bool
-    reports: Sequence[Sequence[SyntheticReport]]  # per process, from the last before that time on
+    # The reports of each process in that time, preceded by its last one before, if there is one.
+    reports: Sequence[Sequence[SyntheticReport]]
     full_lists: int  # sent by discovery
 
 
--- a/fleetlab/synthetic_ingress.py
+++ b/fleetlab/synthetic_ingress.py
@@ -90,7 +90,7 @@
             self.counter = CounterClient(config.counter, timeout_s, self._handle_counter_reply)
 
     def now_ms(self) -> float:
-        """Return the gateway's time: the monotonic clock offset to Unix time, in ms."""
+        """Return the gateway's time in ms: the monotonic clock, shifted once to Unix time."""
         return (self._clock_offset_s + time.monotonic()) * 1000
 
     def start(self) -> list[SupervisedTask]:
--- a/fleetlab/synthetic_messages.py
+++ b/fleetlab/synthetic_messages.py
@@ -15,7 +15,7 @@
     first_index: int = 0  # index of the process's first ingress among the gateways
     rate: float = 20.0  # requests per second at each ingress
     customers: int = 1000
-    preloaded_customers: int = 0  # each ingress serves a request of each before the load
+    preloaded_customers: int = 0  # before the load, each ingress serves a request of each
     classes: int = 3
     burst: float = 1000.0  # of the plan: units, and units per second
     seed: int = 0
@@ -26,7 +26,9 @@
     """Sums over all ingresses of a process since its start."""
 
     at_s: float  # since the start of the process
-    ready_s: float | None  # when all had a list and preloaded customers; None before
+    # When all ingresses had a list and had served their preloaded customers, since the start of the
+    # process; None before.
+    ready_s: float | None
     entries: int  # in the endpoint lists
     min_entries: int  # at the ingress with the fewest entries
     discovery_bytes: int
