--- a/sumacpost/server/close_reason.py
+++ b/sumacpost/server/close_reason.py
@@ -12,8 +12,8 @@
     RESPONSE_WAS_LAST = "response_was_last"  # the last response had Connection: close
     INVALID_INPUT = "invalid_input"  # the start of the next request can't be determined
     REQUEST_TIMEOUT = "request_timeout"  # no complete request arrived within the time limit
-    IDLE = "idle"  # no request for too long after the last response
-    EVICTED = "evicted"  # closed to make room for another connection
+    IDLE = "idle"  # no further request arrived within the time limit
+    EVICTED = "evicted"  # closed because of a limit on the number of connections
     LINGER_TIMEOUT = "linger_timeout"  # the client did not close after the last response
     DRAIN_IDLE = "drain_idle"  # idle during a drain
     DRAIN_NO_REQUEST = "drain_no_request"  # no complete request arrived during a drain
--- a/sumacpost/server/connection.py
+++ b/sumacpost/server/connection.py
@@ -99,8 +99,8 @@
     def data_received(self, data: bytes) -> None:
         """Buffer the input, and parse as much of it as the pending responses allow.
 
-        Reading from the socket is not paused while responses are pending: the event loop detects a
-        disconnected client only by reading to the end of the input.
+        Pending responses never pause reading from the socket: the event loop detects a disconnected
+        client only by reading to the end of the input.
         """
         if self._state is _CLOSING:
             return
@@ -211,7 +211,7 @@
         self._handler.handle(message, response)
 
     def _reject(self, status: int) -> None:
-        """Send an error for input that can't be handled; the connection ends with it.
+        """Send an error response for input that can't be handled; the connection ends after it.
 
         No later request can be read, as the position of its first byte is unknown.
         """
@@ -342,9 +342,10 @@
     def _close_transport(self) -> None:
         """Close the connection; in a drain, close only its sending direction.
 
-        During a drain the socket stays open until the client closes it: if the client has sent more
-        input, closing would reset the connection, and a response that the client has not read yet
-        could be lost. That input stays unread, so the client can see that it was not processed.
+        During a drain the socket stays open until the client closes it or LINGER_TIMEOUT_S has
+        elapsed: if the client has sent more input, closing would reset the connection, and a
+        response that the client has not read yet could be lost. That input stays unread: the client
+        sees the connection end without a response to it, and can send the request again.
         """
         if self._transport.is_closing():
             return
--- a/sumacpost/server/connection_registry.py
+++ b/sumacpost/server/connection_registry.py
@@ -1,4 +1,4 @@
-"""All client connections: limits on their number, and time-outs of those without a request."""
+"""All client connections: limits on their number, and timeouts of those without a request."""
 
 from __future__ import annotations
 
@@ -45,7 +45,8 @@
         open: all connections that have a transport, oldest first.
         waiting: connections without a complete request so far, or with an incomplete next one.
         idle: connections between requests.
-        closing: connections that have sent their last response; their input is discarded.
+        closing: connections that are ending; they read no further requests, and those that do not
+            end within LINGER_TIMEOUT_S are aborted.
         on_capacity_available: called when a connection ends or may be evicted, so that another can
             be accepted.
     """
@@ -104,7 +105,7 @@
         self.idle.discard(connection)
 
     def mark_waiting(self, connection: ConnectionType) -> None:
-        """Record that a request has begun; it has to be complete within REQUEST_TIMEOUT_S."""
+        """Record that a request has begun; from now on it has REQUEST_TIMEOUT_S to be complete."""
         self.idle.discard(connection)
         self.waiting.add(connection)
 
@@ -129,15 +130,17 @@
         self.idle.discard(connection)
         self.closing.add(connection)
 
-    # ---- eviction and time-outs
+    # ---- eviction and timeouts
 
     def eviction_candidate(self) -> ConnectionType | None:
-        """Return the connection whose loss costs least, or None if all have pending responses.
+        """Return the connection whose loss costs least, or None if none may be evicted.
 
-        Connections that have sent their last response come first, then connections without a
-        complete request, then idle ones. A connection in whose socket a complete request may be
-        waiting comes after these, and so does a new one, which has had no time to send its request;
-        new connections are not spared if many connections are waiting for a request.
+        Connections with pending responses, and those without a transport yet, are never evicted.
+
+        Closing connections come first, then connections without a complete request, then idle ones.
+        A connection in whose socket a complete request may be waiting comes after these, and so
+        does a new one, which has had no time to send its request; new connections are not spared if
+        many connections are waiting for a request.
         """
         many_waiting = len(self.waiting) > self._max_connections // WAITING_DIVISOR
         opened_before = inf if many_waiting else time.monotonic() - NEW_CONNECTION_GRACE_S
--- a/sumacpost/server/drain.py
+++ b/sumacpost/server/drain.py
@@ -50,9 +50,10 @@
     async def _accept_until_quiet(self) -> None:
         """Keep accepting until no more connections are expected and the kernel's queue is empty.
 
-        Stop after max_accept_ms if connections keep arriving, but not before the queue is empty. If
-        the queue can't be emptied, for example because of the connection limit, return when all
-        responses are due.
+        No more connections are expected if min_accept_ms have passed and none has been accepted for
+        quiet_ms. Stop after max_accept_ms if connections keep arriving, but not before the queue is
+        empty. If the queue can't be emptied, for example because of the connection limit, return
+        when all responses are due.
         """
         schedule = self.schedule
         while True:
