--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -46,7 +46,7 @@
 
 @each_way_to_leave
 @either_order
-@pytest.mark.parametrize("event", ["it grants", "it is lost"])
+@pytest.mark.parametrize("event", ["granted", "connection lost"])
 def test_counter_reply_starts_no_attempt_for_a_client_that_left_in_the_same_iteration(
     how: str, client_first: bool, event: str
 ) -> None:
@@ -57,10 +57,10 @@
 def test_counter_timeout_starts_no_attempt_for_a_client_that_left(how: str) -> None:
     """Timers of a delayed loop iteration run before sockets are polled.
 
-    The counter time-out is such a timer, so it could start an attempt before the loop detects that
+    The counter timeout is such a timer, so it could start an attempt before the loop detects that
     the client has disconnected.
     """
-    run(check_counter_event(how, True, "it is silent"))
+    run(check_counter_event(how, True, "silent"))
 
 
 async def check_counter_event(how: str, client_first: bool, event: str) -> None:
@@ -78,7 +78,7 @@
         return b"$%d\r\n%b\r\n" % (len(text), text)
 
     # The ingress waits four times as long as configured.
-    timeout_ms = 250.0 if event == "it is silent" else 4000.0
+    timeout_ms = 250.0 if event == "silent" else 4000.0
     settings = {"extra": SETTINGS["extra"] | {"count_wait": timeout_ms}}
     async with ingress_with_idle_connections(1, counter=count, settings=settings) as ingress:
         withholding = True
@@ -102,12 +102,12 @@
         assert not attempted_backends(ingress)
         writer = ingress.counter.writers[0]
         trigger_event = {
-            "it grants": lambda: write_immediately(writer, reply()),
-            "it is lost": lambda: shut_down_immediately(writer),
-            "it is silent": lambda: None,
+            "granted": lambda: write_immediately(writer, reply()),
+            "connection lost": lambda: shut_down_immediately(writer),
+            "silent": lambda: None,
         }[event]
         withholding = False
-        blocked_s = 1.1 if event == "it is silent" else BLOCKED_S
+        blocked_s = 1.1 if event == "silent" else BLOCKED_S
         disconnect_during(trigger_event, client, how, client_first, blocked_s)
         await expect_attempt_only_if_client_stays(ingress, how, 0)
 
@@ -147,10 +147,10 @@
 
 def seconds_until_hedging(ingress: RunningIngress) -> float:
     """Return the seconds from now until the only attempt in flight is certainly overdue."""
-    bridge = ingress.bridge
-    backends = bridge._gateway.endpoints.backends.values()
+    inner_ingress = ingress.ingress
+    backends = inner_ingress._gateway.endpoints.backends.values()
     (overdue_at,) = [sent.overdue_at for b in backends for sent in b.in_flight.values()]
-    return (overdue_at - bridge._clock.now()) / 1000 + 0.05
+    return (overdue_at - inner_ingress._clock.now()) / 1000 + 0.05
 
 
 @each_way_to_leave
@@ -217,9 +217,9 @@
 
 @each_way_to_leave
 @pytest.mark.parametrize("step", ["connected", "ready"])
-@pytest.mark.parametrize("which", ["first", "retry", "hedged"])
+@pytest.mark.parametrize("attempt_kind", ["first", "retry", "hedged"])
 def test_connection_opened_as_its_client_leaves_carries_no_attempt(
-    how: str, step: str, which: str, monkeypatch: pytest.MonkeyPatch
+    how: str, step: str, attempt_kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An attempt's bytes are written one or two loop iterations after the socket is connected.
 
@@ -230,7 +230,7 @@
     async def test() -> None:
         async with ingress_with_idle_connections(settings=early_hedging()) as ingress:
             client = BlockingClient(ingress.address)
-            if which == "first":
+            if attempt_kind == "first":
                 for pool in pools(ingress):
                     pool.idle[0].close(CloseReason.STALE)
             else:
@@ -241,9 +241,9 @@
                         pool.idle[0].close(CloseReason.STALE)
             hook.callback = lambda: disconnect_during(lambda: None, client, how, True)
             before = len(attempted_backends(ingress))
-            if which == "first":
+            if attempt_kind == "first":
                 client.write(slow_request())
-            elif which == "retry":
+            elif attempt_kind == "retry":
                 write_immediately(attempted_backends(ingress)[0].writers[0], NOT_STARTED)
             await until(lambda: hook.callback is None)
             await expect_attempt_only_if_client_stays(ingress, how, before)
@@ -316,7 +316,7 @@
 
 @each_way_to_leave
 def test_unread_bytes_do_not_hide_that_a_client_left(how: str) -> None:
-    """A peek returns only the unread part of a further request, not the end behind it."""
+    """A peek at the socket returns only the unread bytes, not the end of the input after them."""
 
     async def test() -> None:
         async with ingress_with_idle_connections() as ingress:
--- a/tests/server/test_connection_limits.py
+++ b/tests/server/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Limits on client connections: their number and their duration."""
+"""Limits on the number of client connections, and timeouts of requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from tests.support.event_loop import run, until
 from tests.support.http_client import HEALTH_REQUEST, LONG_TIMEOUT, Client, request
-from tests.support.ingress import connect_beyond_bound, running_ingress
+from tests.support.ingress import connect_beyond_limit, running_ingress
 from tests.support.peers import OK_RESPONSE, never_respond, respond
 
 
@@ -55,7 +55,7 @@
         async with running_ingress(respond()) as ingress:
             client = await ingress.client()
             assert (await client.send(request())).status == 200
-            await asyncio.sleep(0.4)  # the request time-out does not apply between requests
+            await asyncio.sleep(0.4)  # the request timeout does not apply between requests
             assert (await client.send(request(number=2))).status == 200
             client.write(request(number=3)[:-1])
             assert (await client.read_response()).status == 408
@@ -182,7 +182,7 @@
 
     async def test() -> None:
         async with running_ingress(*[never_respond] * 8, sockets=64) as ingress:
-            await connect_beyond_bound(ingress)
+            await connect_beyond_limit(ingress)
             ingress.backends[0].writers[0].write(OK_RESPONSE)
             await ingress.wait_for_requests(9)
 
@@ -221,7 +221,11 @@
 def test_request_with_connection_close_is_not_timed_out_as_incomplete(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Such a connection was once treated as one without a request, and closed after 2 s."""
+    """A request with Connection: close stops the connection from reading further requests.
+
+    Such a connection was once treated as one without a request, and closed after 2 s although its
+    response was pending.
+    """
     monkeypatch.setattr("sumacpost.server.connection_registry.REQUEST_TIMEOUT_S", 0.1)
     monkeypatch.setattr("sumacpost.service.MAINTENANCE_INTERVAL_S", 0.02)
 
@@ -233,7 +237,7 @@
             connections = ingress.server.connections
             (connection,) = connections.open
             assert connection not in connections.waiting
-            await asyncio.sleep(0.3)  # three times the request time-out
+            await asyncio.sleep(0.3)  # three times the request timeout
             ingress.backends[0].writers[0].write(OK_RESPONSE)
             assert (await client.read_response()).status == 200
             assert await client.read_to_end() == b""
--- a/tests/server/test_disconnect_races.py
+++ b/tests/server/test_disconnect_races.py
@@ -77,7 +77,8 @@
 def test_request_waiting_for_the_counter_is_cancelled_with_its_client() -> None:
     async def test() -> None:
         async def delayed_reply(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
-            total[0] += float(call.split()[2])  # with another total it would send a correction
+            # With another total the gateway would send a correction.
+            total[0] += float(call.split()[2])
             await reply_allowed.wait()
             writer.write(b"$%d\r\n%b\r\n" % (len(text := b"%.6f" % total[0]), text))
 
@@ -129,8 +130,8 @@
             class CancellingConnection(BackendConnection):
                 def __init__(self, pool: ConnectionPool, sock: socket.socket) -> None:
                     super().__init__(pool, sock)
-                    for call in list(ingress.bridge._pending.values()):
-                        ingress.bridge.cancel_request(call)
+                    for pending in list(ingress.ingress._pending.values()):
+                        ingress.ingress.cancel_request(pending)
 
             with monkeypatch.context() as patched:
                 patched.setattr("sumacpost.upstream.pool.BackendConnection", CancellingConnection)
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -11,7 +11,7 @@
 from tests.support.configuration import SETTINGS
 from tests.support.event_loop import run, until
 from tests.support.http_client import HEALTH_REQUEST, LONG_TIMEOUT, request
-from tests.support.ingress import connect_beyond_bound, running_ingress
+from tests.support.ingress import connect_beyond_limit, running_ingress
 from tests.support.peers import OK_RESPONSE, never_respond, respond
 
 
@@ -94,13 +94,13 @@
             late = await ingress.client()
             late.write(request("ledger-read", Request_Timeout=LONG_TIMEOUT))
             await ingress.wait_for_requests(1)
-            (call,) = ingress.bridge._pending.values()
+            (pending,) = ingress.ingress._pending.values()
             longest = max(c["hard_limit"] for c in SETTINGS["categories"])
             assert longest > 3000
             assert (
-                call.deadline
-                <= ingress.bridge._drain_deadline
-                < ingress.bridge._clock.now() + 3000 + 700
+                pending.deadline
+                <= ingress.ingress._drain_deadline
+                < ingress.ingress._clock.now() + 3000 + 700
             )
             timeout_s = float(
                 ingress.backends[0]
@@ -129,7 +129,7 @@
 
     async def test() -> None:
         async with running_ingress(*[never_respond] * 8, sockets=64) as ingress:
-            late = await connect_beyond_bound(ingress)
+            late = await connect_beyond_limit(ingress)
             ingress.stop.set()
             await asyncio.sleep(0.3)  # well after the time at which the listener would have closed
             for backend in ingress.backends:
--- a/tests/server/test_drain_deadline.py
+++ b/tests/server/test_drain_deadline.py
@@ -139,9 +139,9 @@
 
 
 def test_request_that_waits_for_a_silent_counter_is_rejected_at_the_end_of_a_drain() -> None:
-    """The drain moves the deadline to a time before the counter time-out.
+    """The drain moves the request's deadline to a time before the counter timeout.
 
-    Before the drain the counter time-out was the earlier one.
+    Before the drain the counter timeout is the earlier of the two.
     """
     settings = SHORT_DEADLINES | {"extra": SETTINGS["extra"] | {"count_wait": 10_000.0}}
     units = "units=4,spread=2,first=0"
@@ -150,7 +150,7 @@
         async with running_ingress(respond(), counter=never_respond, settings=settings) as ingress:
             client = await ingress.client()
             count = 0
-            while not ingress.counter.requests or not ingress.bridge._pending:
+            while not ingress.counter.requests or not ingress.ingress._pending:
                 count += 1
                 client.write(
                     request(
@@ -166,6 +166,6 @@
             statuses = await read_statuses(client)
             assert statuses[-1] == b"429"
             await ingress.task
-            assert ingress.bridge.recorder.violation_count == 0
+            assert ingress.ingress.recorder.violation_count == 0
 
     run(test())
--- a/tests/support/http_client.py
+++ b/tests/support/http_client.py
@@ -126,7 +126,7 @@
 
 
 async def send_once(port: int, data: bytes, timeout_s: float = 2.0) -> Response:
-    """Send a request on a new connection; the status is 0 if there is no response in time."""
+    """Send a request on a new connection; the status is 0 if there is no complete response."""
     try:
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/support/ingress.py
+++ b/tests/support/ingress.py
@@ -64,25 +64,25 @@
         return self.service._server
 
     @property
-    def bridge(self) -> Ingress:
-        """The object that connects sockets and gateway."""
+    def ingress(self) -> Ingress:
+        """The object of the program that connects sockets and gateway."""
         return self.service._ingress
 
     @property
     def gateway(self) -> Gateway:
         """The gateway, which makes the decisions of the policy."""
-        return self.bridge._gateway
+        return self.ingress._gateway
 
     @property
     def pool_manager(self) -> PoolManager:
         """The connection pools of the backends."""
-        return self.bridge.backends
+        return self.ingress.backends
 
     @property
     def counter_client(self) -> CounterClient:
         """The counter client; assert that there is one."""
-        assert self.bridge.counter is not None
-        return self.bridge.counter
+        assert self.ingress.counter is not None
+        return self.ingress.counter
 
     async def wait_for_requests(self, count: int) -> None:
         """Wait until the backends have received exactly `count` requests in total."""
@@ -155,7 +155,7 @@
     }
 
 
-async def connect_beyond_bound(ingress: RunningIngress) -> Client:
+async def connect_beyond_limit(ingress: RunningIngress) -> Client:
     """Open the eight connections that an ingress with 64 sockets permits, each with a request.
 
     Return a further client that has sent a request and is waiting in the listen queue.
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -3,7 +3,7 @@
 Each line has four fields, separated by |: a test function, the command and seed that reproduce the
 failure, what was seen, and the issue. What was seen contains quotes of the failure's report, in
 backquotes. A listed test is run, and its failure does not fail the run if the report contains all
-the quotes. Any other failure of the test does: a crash or a time-out is not the known failure. A
+the quotes. Any other failure of the test does: a crash or a timeout is not the known failure. A
 test that passes has to be removed from the list.
 """
 
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -67,7 +67,7 @@
         requests: the requests received, oldest first.
         connections: how many connections have been accepted.
         writers: the writers of all connections, oldest first.
-        connections_closed: how many connections the other side has closed or reset.
+        connections_closed: how many of the connections have been closed or reset.
     """
 
     def __init__(self, script: Script, read: MessageReader = read_message) -> None:
@@ -145,6 +145,6 @@
 
 
 def write_if_open(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Write unless the connection is closing, where uvloop would raise and asyncio only warn."""
+    """Write unless the connection is closing: then uvloop raises, and asyncio only warns."""
     if not writer.is_closing():
         writer.write(data)
--- a/tests/support/program.py
+++ b/tests/support/program.py
@@ -18,7 +18,7 @@
     """Run `python -m sumacpost` with this configuration.
 
     log: the file to which standard error is appended; the configuration is written beside it.
-    descriptors: the limit on open file descriptors, or None for no limit.
+    descriptors: the limit on open file descriptors, or None to keep that of this process.
     """
     path = log.with_suffix(".json")
     path.write_text(json.dumps(config))
--- a/tests/test_attempt_rules.py
+++ b/tests/test_attempt_rules.py
@@ -12,7 +12,7 @@
 from tests.support.connection_gate import ConnectionGate
 from tests.support.event_loop import run, until
 from tests.support.http_client import request
-from tests.support.ingress import RunningIngress, connect_beyond_bound, running_ingress
+from tests.support.ingress import RunningIngress, connect_beyond_limit, running_ingress
 from tests.support.peers import OK_RESPONSE, never_respond, respond
 
 DELAY_S = 0.2
@@ -66,7 +66,7 @@
             connection_gate.open()
             assert (await client.read_response()).status == 429
             assert not ingress.backends[0].requests
-            counts = ingress.bridge.recorder.counts
+            counts = ingress.ingress.recorder.counts
             assert counts[EventKind.ATTEMPT_SKIPPED, "backend_not_ready"] == 1
 
     run(test())
@@ -82,15 +82,15 @@
             client = await ingress.client()
             client.write(request())
             await until(lambda: connection_gate.connect_calls == 1)
-            (pending,) = ingress.bridge._pending.values()
+            (pending,) = ingress.ingress._pending.values()
             (attempt,) = pending.attempts
             attempt.written = True  # as if the first attempt may have run, unknown to the policy
             (policy_request,) = ingress.gateway.pending.values()
             policy_request.in_flight.clear()
             policy_request.attempted_backends.append(policy_request.attempted_backends[0])
-            ingress.bridge._execute_action(Send(pending.number, attempt.backend))
-            assert ingress.bridge.recorder.violation_count == 1
-            assert ingress.bridge.recorder.counts[EventKind.VIOLATION, "second_execution"] == 1
+            ingress.ingress._execute_action(Send(pending.number, attempt.backend))
+            assert ingress.ingress.recorder.violation_count == 1
+            assert ingress.ingress.recorder.counts[EventKind.VIOLATION, "second_execution"] == 1
             connection_gate.open()
 
     run(test())
@@ -101,7 +101,7 @@
 
     async def test() -> None:
         async with running_ingress(*[never_respond] * 8, sockets=64) as ingress:
-            late = await connect_beyond_bound(ingress)
+            late = await connect_beyond_limit(ingress)
             await asyncio.sleep(DELAY_S)
             for backend in ingress.backends:
                 backend.script = respond()
