--- a/sumacpost/policy/fleet_estimate.py
+++ b/sumacpost/policy/fleet_estimate.py
@@ -77,7 +77,7 @@
         return OVERDUE_FACTOR * inflation * (self.mean_work_ms * outstanding_requests + work_ms)
 
     def apply_load_report(self, now: float, backend: Backend, report: tuple[float, ...]) -> None:
-        """Update the capacity of warm backends by throughput over utilization of a load report."""
+        """Update the capacity of warm backends from the throughput per utilization of a report."""
         if not report or len(self._report_field_indexes) != len(REPORT_FIELDS):
             return
         throughput, utilization = (report[index] for index in self._report_field_indexes)
--- a/tests/policy/test_service_time.py
+++ b/tests/policy/test_service_time.py
@@ -27,7 +27,7 @@
     assert one.upper_bound_ms(1) > one.upper_bound_ms(10) > 100
 
 
-def test_a_congested_block_does_not_raise_the_service_time() -> None:
+def test_one_congested_block_does_not_raise_the_service_time() -> None:
     calm = service_time_of(*[100.0] * 2 * BLOCK_SIZE)
     congested = service_time_of(*[100.0] * 2 * BLOCK_SIZE, *[300.0] * BLOCK_SIZE)
     assert congested.upper_bound_ms(1) == pytest.approx(calm.upper_bound_ms(1))
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -294,7 +294,7 @@
     numbers = count()
 
     def send_until_refused(now: float) -> int:
-        """Send requests of mean work until one is refused; return their number."""
+        """Send requests of mean work until one is not admitted; return the number sent."""
         work_ms = g.estimate.long_term_mean_work_ms
         sent = 0
         while slow_start.admits(now, backend, work_ms):
@@ -302,11 +302,11 @@
             sent += 1
         return sent
 
-    end_of_period = 15_000.0
-    first = send_until_refused(end_of_period - 1)
+    filled_at = 15_000.0
+    first = send_until_refused(filled_at - 1)
     assert first > 2
-    assert send_until_refused(end_of_period + 1) <= 1  # the share may have grown by one
-    assert send_until_refused(end_of_period + 3100) >= first
+    assert send_until_refused(filled_at + 1) <= 1  # the share may have grown by one
+    assert send_until_refused(filled_at + 3100) >= first
 
 
 def test_the_work_of_an_attempt_counts_from_when_it_is_written() -> None:
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -1,4 +1,9 @@
-"""A checker of the five rules of the policy, from the events and actions of one gateway."""
+"""A checker of the five rules of the policy, from the events and actions of one gateway.
+
+Each request gets one final response in time; it is rejected only if a retry is safe; an attempt is
+sent or repeated only as the settings and the request class permit; no attempt is sent to a backend
+that has been draining or removed for longer than the grace time; and no ceiling is exceeded.
+"""
 
 from __future__ import annotations
 
