--- a/sumacpost/server/listener.py
+++ b/sumacpost/server/listener.py
@@ -19,7 +19,7 @@
 LISTEN_BACKLOG = 1024
 # How many connections are accepted in one iteration of the event loop, so that open connections are
 # read in between.
-MAX_ACCEPTS_PER_TURN = 16
+MAX_ACCEPTS_PER_ITERATION = 16
 # How long accepting is paused after an error, such as a lack of file descriptors or memory.
 ACCEPT_RETRY_DELAY_S = 0.05
 
@@ -78,7 +78,7 @@
             self._backlog_since = self._backlog_since or time.monotonic()
             self._loop.remove_reader(self._socket.fileno())
 
-    def accept(self, limit: int = MAX_ACCEPTS_PER_TURN) -> bool:
+    def accept(self, limit: int = MAX_ACCEPTS_PER_ITERATION) -> bool:
         """Accept at most `limit` connections; return whether the kernel's queue is empty."""
         for _ in range(limit):
             evictable = None
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -24,17 +24,17 @@
             await until(lambda: len(ingress.backends[0].requests) == 1)
             ingress.stop.set()
             assert await idle.read_to_end() == b""
-            late = await ingress.client()  # a client that has not noticed the shutdown yet
-            assert (await late.send(HEALTH_REQUEST)).status == 503
-            late = await ingress.client()
-            late.write(request(number=2, Request_Timeout="8.000"))
+            late_client = await ingress.client()  # a client that has not noticed the shutdown yet
+            assert (await late_client.send(HEALTH_REQUEST)).status == 503
+            late_client = await ingress.client()
+            late_client.write(request(number=2, Request_Timeout="8.000"))
             await until(lambda: len(ingress.backends[0].requests) == 2)
             await asyncio.sleep(0.8)  # the listener is closed by now
             with pytest.raises(ConnectionRefusedError):
                 await ingress.client()
             for writer in ingress.backends[0].writers:
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
-            for client in (busy, late):
+            for client in (busy, late_client):
                 status, head, body = await client.read_response()
                 assert (status, body) == (200, b"done")
                 assert b"Connection: close" in head
@@ -91,8 +91,8 @@
         async with running_ingress(never_respond) as ingress:
             ingress.stop.set()
             await until(lambda: ingress.server.handler.draining)
-            late = await ingress.client()
-            late.write(request("ledger-read", Request_Timeout=LONG_TIMEOUT))
+            late_client = await ingress.client()
+            late_client.write(request("ledger-read", Request_Timeout=LONG_TIMEOUT))
             await ingress.wait_for_requests(1)
             (pending,) = ingress.ingress._pending.values()
             longest = max(c["hard_limit"] for c in SETTINGS["categories"])
@@ -111,7 +111,7 @@
             )
             assert timeout_s < (3000 + 700) / 1000
             ingress.backends[0].writers[0].write(OK_RESPONSE)
-            assert (await late.read_response()).status == 200
+            assert (await late_client.read_response()).status == 200
             await ingress.task
 
     run(test())
@@ -129,13 +129,13 @@
 
     async def test() -> None:
         async with running_ingress(*[never_respond] * 8, sockets=64) as ingress:
-            late = await connect_beyond_limit(ingress)
+            queued_client = await connect_beyond_limit(ingress)
             ingress.stop.set()
             await asyncio.sleep(0.3)  # well after the time at which the listener would have closed
             for backend in ingress.backends:
                 backend.script = respond()
                 backend.writers[0].write(OK_RESPONSE)
-            assert (await late.read_response()).status == 200
+            assert (await queued_client.read_response()).status == 200
             await ingress.task
 
     run(test())
