--- a/fleetlab/soak/endpoint_list.py
+++ b/fleetlab/soak/endpoint_list.py
@@ -23,7 +23,7 @@
 
     NONE = "none"
     SILENT = "silent"  # no response on this connection, even after the fault
-    RESET = "reset"  # connections are reset
+    RESET = "reset"  # open connections are reset, later ones at their first poll
     TORN = "torn"  # half of the response, then a close
 
 
@@ -48,7 +48,7 @@
         changed.set()
 
     def changes_since(self, version: int | None) -> list[ListChange]:
-        """Return the changes since a version, or all for None; each change made one version."""
+        """Return the changes since a version, or all for None; each change created one version."""
         return self.changes[0 if version is None else max(0, version - FIRST_VERSION) :]
 
 
@@ -69,8 +69,11 @@
         """Listen on a port assigned by the system."""
         self.address = await self._listen()
 
-    def begin_fault(self, fault: AgentFault) -> None:
-        """Apply a fault to all polls from now on; RESET also resets all open connections."""
+    def set_fault(self, fault: AgentFault) -> None:
+        """Replace the current fault of the agent; NONE ends it.
+
+        The fault affects all responses from now on. RESET also resets all open connections.
+        """
         self.fault = fault
         if fault is AgentFault.RESET:
             for writer in list(self._writers):
--- a/fleetlab/soak/faults.py
+++ b/fleetlab/soak/faults.py
@@ -38,7 +38,7 @@
     FaultKind.COUNTER_RESET: PathFault.RESET,
     FaultKind.COUNTER_HALF_CLOSED: PathFault.HALF_CLOSED,
 }
-# The system fault of each kind, and the fraction of calls that fail while it lasts.
+# The system fault of each kind, and the fraction of calls that it affects while it lasts.
 _SYSTEM_FAULTS = {
     FaultKind.SYSTEM_ACCEPT: (SystemFault.ACCEPT, 0.3),
     FaultKind.SYSTEM_SOCKET: (SystemFault.SOCKET, 0.2),
@@ -81,14 +81,14 @@
 
     Attributes:
         site: the settings of the run.
-        nodes: the ingresses, by the target index of their faults.
-        backends: the backends, by the target index of their faults.
+        nodes: the ingresses; the target of an ingress fault is an index into this list.
+        backends: the backends; the target of a backend fault is an index into this list.
         shared: the endpoint list.
         record: where faults and backend starts are recorded.
         random: the generator of delays and backend behaviours.
-        counter_path: the proxy before the counter, if there is a counter.
-        disrupted_backends: the indices of the backends that a fault has crashed, cut off or
-            begun to replace.
+        counter_path: the proxy in front of the counter, if there is a counter.
+        disrupted_backends: the indices of the backends at which a crash, a cut-off or a replacement
+            is in progress.
     """
 
     site: SoakSite
@@ -147,7 +147,10 @@
                     await self._reload(node, fault)
 
     async def _signal(self, process: IngressProcess, fault: PlannedFault) -> None:
-        """Send a series of signals, then SIGKILL at the earliest time after SIGTERM if needed."""
+        """Send a series of signals, and SIGKILL if the process has not exited.
+
+        SIGKILL follows the first SIGTERM at the earliest time that the protocol permits.
+        """
         terminated_at = None
         for name in fault.signals:
             process.send_signal(signal.Signals[name])
@@ -197,9 +200,9 @@
             await asyncio.sleep(fault.seconds)
             agent.unbounded = False
             return
-        agent.begin_fault(_LIST_FAULTS[fault.kind])
+        agent.set_fault(_LIST_FAULTS[fault.kind])
         await asyncio.sleep(fault.seconds)
-        agent.begin_fault(AgentFault.NONE)
+        agent.set_fault(AgentFault.NONE)
 
     # ---- backends
 
