--- a/fleetlab/soak/attempt_oracles.py
+++ b/fleetlab/soak/attempt_oracles.py
@@ -55,7 +55,8 @@
     for earlier, later in pairwise(attempts):
         if earlier.unobserved:
             continue
-        # The end of one attempt and the start of the next are observed on different connections.
+        # The end of one attempt and the start of the next are observed on different connections, so
+        # that their order is known only to within SLACK_S.
         if earlier.ended_at is None or earlier.ended_at > later.received_at + SLACK_S:
             yield Violation("two_out", request_id, f"{earlier} and {later}")
 
@@ -115,7 +116,10 @@
 
 
 def check_draining_backends(evidence: Evidence) -> Iterable[Violation]:
-    """Check that draining or removed backends receive nothing once the drain grace has elapsed."""
+    """Check that draining or removed backends receive nothing once the drain grace has elapsed.
+
+    The grace starts when the sending ingress was notified of the state.
+    """
     grace_s = evidence.site.drain_grace_s + SLACK_S + PAUSE_ALLOWANCE_S
     ingress_of = {request.request_id: request.ingress for request in evidence.record.requests}
     states_by_recipient: dict[tuple[str, str], list[tuple[float, str]]] = defaultdict(list)
@@ -247,10 +251,10 @@
 
 
 def _window_limit(site: SoakSite, age_s: float) -> float:
-    """Return the most requests that a window may hold, by the backend's age at its end.
+    """Return the most requests allowed in a window; age_s: the backend's age at the window's end.
 
-    The expected number assumes the mean service time. A statistical margin of two standard
-    deviations plus 2, or of three plus 3 for small windows, is added to it.
+    The limit is the number of requests of mean service time that overloads the backend, plus a
+    statistical margin of two standard deviations plus 2, or of three plus 3 for small windows.
     """
     capacity = min(
         1.0, site.initial_capacity + (1 - site.initial_capacity) * age_s / site.slow_start_s
--- a/fleetlab/soak/backend.py
+++ b/fleetlab/soak/backend.py
@@ -1,4 +1,4 @@
-"""A backend that records each attempt and responds with a behaviour that the fault plan selects."""
+"""A backend that records each attempt and whose behaviour may be changed by faults."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         choose_behaviour: selects the behaviour for each attempt.
         accept_delay_s: the delay before a new connection is read from, in seconds.
         idle_timeout_s: the time after which an idle connection is closed or becomes stale.
-        idle_becomes_stale: whether an idle connection becomes stale at the time-out, that is, stays
+        idle_becomes_stale: whether an idle connection becomes stale at the timeout, that is, stays
             open and is reset at its next request, instead of being closed.
     """
 
@@ -72,7 +72,7 @@
     _address: tuple[str, int] = ("127.0.0.1", 0)
 
     async def start(self) -> None:
-        """Listen on a port assigned by the system; after a stop, listen on the same port again."""
+        """Listen on a port assigned by the system, and on the same port at later starts."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self), *self._address, reuse_address=True
@@ -159,7 +159,7 @@
             self._transport.resume_reading()
 
     def _start_idle_timer(self) -> None:
-        """Restart the time-out after which an idle connection is closed or becomes stale."""
+        """Restart the timeout after which an idle connection is closed or becomes stale."""
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         self._idle_timer = asyncio.get_running_loop().call_later(
@@ -296,7 +296,10 @@
         self._start_idle_timer()
 
     def stop_reading(self) -> None:
-        """Stop reading; responses in progress are not written while the backend is unreachable."""
+        """Stop reading, and mark the attempt in progress as unobserved.
+
+        `_respond` and `_write_last` write nothing while the backend is unreachable.
+        """
         if self._attempt is not None:
             self._attempt.unobserved = True
         if not self._transport.is_closing():
--- a/fleetlab/soak/behaviour.py
+++ b/fleetlab/soak/behaviour.py
@@ -16,14 +16,14 @@
     ERROR = "error"  # status 500
     NOT_STARTED = "not_started"  # status 503 with Not-Started: 1
     UNBOUNDED = "unbounded"  # served without a length; the response ends with the connection
-    UNBOUNDED_IN_PIECES = "unbounded_in_pieces"  # the same, written in two pieces
-    UNBOUNDED_RESET = "unbounded_reset"  # no length, half of the body, then a reset
+    UNBOUNDED_IN_PIECES = "unbounded_in_pieces"  # like UNBOUNDED, but written in two pieces
+    UNBOUNDED_RESET = "unbounded_reset"  # half of a body without a length, then a reset
     TRUNCATED = "truncated"  # a body shorter than the stated length, then a close
     RESET = "reset"  # a reset without a response
     LATE_RESET = "late_reset"  # a reset without a response after 0.5 to 1.5 s
     NOISE = "noise"  # bytes that are not HTTP
     IN_PIECES = "in_pieces"  # served in two pieces
-    SERVE_AND_CLOSE = "serve_and_close"  # served with Connection: close
+    SERVE_AND_CLOSE = "serve_and_close"  # served with Connection: close, then closed
 
 
 UNBOUNDED = frozenset({Behaviour.UNBOUNDED, Behaviour.UNBOUNDED_IN_PIECES})
--- a/fleetlab/soak/client.py
+++ b/fleetlab/soak/client.py
@@ -12,7 +12,7 @@
 from fleetlab.soak.records import ClientRequest, Effect
 from fleetlab.stand_in import reset_connection, split_address
 
-# A response up to this long after its deadline only earns nothing; a later one counts as lost.
+# A response at most this late earns nothing but is no violation; a later one counts as lost.
 MAX_LATENESS_S = 0.5
 EXTRA_WAIT_S = 3.0  # further wait for a lost response: the time of its arrival shows the cause
 CONNECT_TIMEOUT_S = 2.0
@@ -22,7 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """One request that a client sends."""
+    """One request that a client sends.
+
+    The fields from `account` on are the values of the headers Account, Plan and Quota-Info.
+    """
 
     request_id: str
     class_name: str
@@ -152,7 +155,7 @@
                 self.close()
 
     async def leave(self, record: ClientRequest, after_s: float, reset: bool) -> None:
-        """Close the connection after a time, unless the response is complete before."""
+        """Close the connection after a time, unless its response or its end was read before."""
         receiving = asyncio.ensure_future(self.receive(record))
         await asyncio.wait([receiving], timeout=after_s)
         if receiving.done():
--- a/fleetlab/soak/evidence.py
+++ b/fleetlab/soak/evidence.py
@@ -1,8 +1,8 @@
 """The evidence that the oracles of a run check, and the violations that they report.
 
-The protocol's rules have 50 ms of slack of their own, and an ingress may be paused for 150 ms; all
-time bounds allow for that. An event beyond its bound is excused by at most the time for which, by
-the trace of waits, the ingress or the soak itself waited for a processor or a disk at the end of
+The protocol's rules have 50 ms of slack of their own, and an ingress may be paused for 150 ms; most
+time bounds include one or both. An event beyond its bound is excused by at most the time for which,
+by the trace of waits, the ingress or the soak itself waited for a processor or a disk at the end of
 the measured interval.
 """
 
@@ -31,7 +31,7 @@
 
     Attributes:
         rule: the name of the rule.
-        subject: the request, process or backend that violated it.
+        subject: the request, process, ingress or backend that the violation concerns.
         detail: the observed values.
     """
 
@@ -86,7 +86,7 @@
         self.bound_ratios[rule] = max(min(ratio, MAX_BOUND_RATIO), self.bound_ratios.get(rule, 0.0))
 
     def waited_s(self, ingress: str, start: float, end: float) -> float:
-        """Return how long an ingress and the soak itself waited between two times, in seconds."""
+        """Return the sum of an ingress's and the soak's own waits between two times, in seconds."""
         pids = {process.pid for process in self.record.lives if process.ingress == ingress}
         return sum(
             wait.waited_s
--- a/fleetlab/soak/ingress_process.py
+++ b/fleetlab/soak/ingress_process.py
@@ -74,7 +74,8 @@
     async def start(self) -> None:
         """Start a process and wait until it is ready.
 
-        Raise TimeoutError if it is not ready in time, RuntimeError if it exits before.
+        Raise TimeoutError if it is not ready in time, RuntimeError if it exits before it has
+        passed a health check.
         """
         self.write_config()
         with self.log_path.open("ab") as log:
--- a/fleetlab/soak/population.py
+++ b/fleetlab/soak/population.py
@@ -17,12 +17,12 @@
 CONNECT_AFTER_SIGTERM_S = 0.3  # time after SIGTERM for which clients still open connections
 RECONNECT_DELAY_S = 0.1  # delay before a client that could not connect tries again
 MAX_THINK_S = 0.25  # longest pause of a client between two requests
-MAX_IDLE_S = 2.5  # longest idle time of a connection before a request of an idling client
+MAX_IDLE_S = 2.5  # longest idle time that a client leaves on its connection before a request
 RAMP_S = 1.5  # time over which the clients start
 MAX_PIPELINED = 4  # most requests that an occasional pipelining client sends at once
 PIPELINE_DEPTH = 6  # requests in flight on the connection of a continuously pipelining client
 BAD_CLIENT_DEADLINE_S = 3.0  # time within which a bad client has to get an error or a close
-BAD_CLIENT_WAIT_S = 4.0  # time for which a bad client waits for it
+BAD_CLIENT_WAIT_S = 4.0  # time for which a bad client waits for an error or a close
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
         slow_writer: the client writes its request in pieces.
         idle: the client leaves the connection idle before the request.
         pipeline: the client sends several requests at once.
-        shorter_timeout: the client sets a shorter time-out than the deadline of the class.
+        shorter_timeout: the client sets a shorter timeout than the deadline of the class.
     """
 
     leave: float = 0.08
@@ -82,7 +82,7 @@
             connection.close()
 
     async def _connect(self) -> ClientConnection | None:
-        """Connect, if a load balancer before the ingress would still route clients to it."""
+        """Connect, if a load balancer in front of the ingress would still route clients to it."""
         process_record = self._process.process_record
         terminated_at = process_record.signalled_at("SIGTERM")
         elapsed_s = 0.0 if terminated_at is None else time.monotonic() - terminated_at
@@ -129,7 +129,7 @@
     async def _pipeline(self, connection: ClientConnection) -> None:
         """Send several requests at once.
 
-        All have the same time-out, since a response cannot precede that of an earlier request.
+        All have the same timeout, since a response cannot precede that of an earlier request.
         """
         records: list[ClientRequest] = []
         timeout_s = self._draw_request().timeout_s
--- a/fleetlab/soak/process_oracles.py
+++ b/fleetlab/soak/process_oracles.py
@@ -20,7 +20,8 @@
 
     After SIGTERM or SIGINT it has to exit with code 0, or to log the end of its drain before the
     earliest SIGKILL unless it was paused in the second before that. The interpreter may still be
-    running at SIGKILL, since nothing is open any more.
+    running at SIGKILL, since the drain ends only when all client connections have ended or its time
+    has run out.
     """
     for process in evidence.record.lives:
         terminated_at = first_termination_signal_at(process)
--- a/fleetlab/soak/run.py
+++ b/fleetlab/soak/run.py
@@ -31,7 +31,7 @@
 from fleetlab.system_faults.control import SystemFault, SystemFaults
 from fleetlab.system_faults.library import build_library
 
-MAX_CONCURRENT_STARTS = 8  # processes that start at the same time
+MAX_CONCURRENT_STARTS = 8  # most processes that start at the same time
 REQUESTS_AFTER_SIGTERM_S = 1.0  # not used: clients stop when the last process has exited
 COUNTER_DELAY_S = 0.15  # delay of each chunk on a delayed path to the counter
 DESCRIPTOR_COUNT_DELAY_S = 1.0  # delay from the end of the last client to the descriptor count
@@ -91,7 +91,7 @@
         self._shared: SharedList
 
     async def run(self) -> Evidence:
-        """Carry out the plan and return the evidence; all processes and servers have ended then."""
+        """Carry out the plan, end all processes and servers, and return the evidence."""
         async with AsyncExitStack() as resources:
             await self._start_backends(resources)
             counter = await self._start_counter(resources)
--- a/fleetlab/soak/runs.py
+++ b/fleetlab/soak/runs.py
@@ -24,7 +24,7 @@
 
 MIN_INGRESSES = 10
 MAX_INGRESSES = 40
-INGRESS_COUNT_EXPONENT = 3  # exponent of the draw: most runs have few ingresses, some have all
+INGRESS_COUNT_EXPONENT = 3  # exponent of the draw: most runs have few ingresses, some the maximum
 FIRST_SLOW_START_SEED = 1000
 FIRST_SHUTDOWN_SEED = 2000
 FIRST_PAUSE_SEED = 3000
--- a/fleetlab/soak/schedule.py
+++ b/fleetlab/soak/schedule.py
@@ -38,7 +38,7 @@
     the path of all ingresses to the counter.
     """
 
-    RESTART = "restart"  # a series of signals, the earliest SIGKILL, then a new process
+    RESTART = "restart"  # a series of signals, SIGKILL if it does not exit, a new process
     KILL = "kill"  # SIGKILL without an earlier signal, then a new process
     RELOAD = "reload"  # the agent moves to a new address, SIGHUP once or several times
     PAUSE = "pause"  # SIGSTOP for up to 0.15 s
@@ -105,7 +105,7 @@
         at_s: the start of the fault, in seconds after the start of the load; negative for a fault
             that precedes the start of the processes.
         kind: the kind of the fault.
-        target: the index of the ingress or the backend.
+        target: the index of the ingress or the backend; ignored for a counter fault.
         seconds: the duration of the fault, where it has one; for a clock step, the step.
         signals: the signals of a restart or reload, in order.
         gap_s: the time between two signals, in seconds.
@@ -150,9 +150,8 @@
     crowd: bool
     counter: bool
     faults: tuple[PlannedFault, ...]
-    clients_leave_first: bool = field(
-        default=False, repr=False
-    )  # excluded from the repr, whose hash the tests pin for listed seeds
+    # Excluded from the repr, whose hash the tests pin for listed seeds.
+    clients_leave_first: bool = field(default=False, repr=False)
 
 
 def make_plan(seed: int, ingresses: int, seconds: float) -> SoakPlan:
--- a/fleetlab/soak/stress_plans.py
+++ b/fleetlab/soak/stress_plans.py
@@ -24,8 +24,10 @@
 SILENCE_CHANCE = 0.7  # chance per replacement that some agents are silent during it
 SILENT_INGRESS_SHARE = 0.2  # fraction of the ingresses whose agents are silent
 WAVES = 2  # number of waves of hanging backends, each with restarts of half of the ingresses
-WAVE_DURATION_S = 5.0
-DISTURBED_INGRESS_SHARE = 0.25  # fraction of ingresses that may be restarted, paused or reloaded
+WAVE_DURATION_S = 5.0  # time for which the backends of a wave hang or reset late
+# Fraction of the ingresses that keep the restarts, kills, reloads, pauses and discovery faults that
+# are drawn for them. The silent agents of SILENT_INGRESS_SHARE are chosen separately.
+DISTURBED_INGRESS_SHARE = 0.25
 # Choices for the longest deadline, short so that a pause often extends past a deadline.
 PAUSE_DEADLINES_S = (0.3, 0.6)
 PAUSE_INTERVAL_S = 0.6  # mean time between two pauses of an ingress
@@ -88,7 +90,7 @@
 def make_shutdown_plan(seed: int, ingresses: int, seconds: float) -> SoakPlan:
     """Return a plan whose ingresses are terminated while most backends hang or reset late.
 
-    Requests have long deadlines, and their deduplication window ends long before these.
+    Requests have long deadlines, and the deduplication window ends long before the deadlines.
     """
     random = Random(f"shutdown {seed}")
     longest_s = random.choice((2.3, 4.0, 4.0))
--- a/fleetlab/soak/system_schedule.py
+++ b/fleetlab/soak/system_schedule.py
@@ -8,8 +8,8 @@
 from fleetlab.soak.schedule import FAULT_FREE_S, FaultKind, PlannedFault, SoakPlan, make_plan
 from fleetlab.soak.stress_plans import make_slow_start_plan
 
-FAULTS_PER_INGRESS = (1, 4)
-CLOCK_STEP_CHANCE = 0.4  # chance per ingress
+FAULTS_PER_INGRESS = (1, 4)  # range of the number of system faults per ingress
+CLOCK_STEP_CHANCE = 0.4  # chance per ingress of a clock step during the run
 WRONG_CLOCK_CHANCE = 0.8  # chance per ingress in a plan for wrong clocks
 ALL_INGRESSES = -1  # target of a fault that affects all ingresses
 BEFORE_START_S = -1.0  # start time of a fault that takes effect before the processes start
--- a/fleetlab/soak/wait_monitor.py
+++ b/fleetlab/soak/wait_monitor.py
@@ -17,7 +17,7 @@
 
 
 class WaitMonitor:
-    """Samples the waits of processes, and the delay of the own event loop, every INTERVAL_S."""
+    """Samples the waits of processes, and the delay of the soak's event loop, every INTERVAL_S."""
 
     def __init__(self, pids: Callable[[], Iterable[int]], waits: list[ProcessWait]) -> None:
         self._pids = pids
--- a/fleetlab/system_faults/control.py
+++ b/fleetlab/system_faults/control.py
@@ -1,4 +1,4 @@
-"""Controls which system calls of a process fail and how often, by a file that it has mapped."""
+"""Controls which system calls of a process fail and how often, by a file that the process maps."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
             self._memory = mmap.mmap(file.fileno(), _SIZE)
 
     def set_probability(self, fault: SystemFault, probability: float) -> None:
-        """Set the probability, from 0 to 1, with which calls fail."""
+        """Set the probability, from 0 to 1, with which a fault is applied to a call."""
         offset = _RATES_OFFSET + _UINT32.size * fault
         _UINT32.pack_into(self._memory, offset, round(probability * FULL_RATE))
 
--- a/fleetlab/system_faults/library.py
+++ b/fleetlab/system_faults/library.py
@@ -21,7 +21,8 @@
 def build_library(folder: Path) -> Path:
     """Compile the library into a folder and return its path.
 
-    Raise MissingCompilerError without a compiler, subprocess.CalledProcessError if it fails.
+    Raise MissingCompilerError without a compiler, subprocess.CalledProcessError if the compiler
+    fails.
     """
     compiler = os.environ.get("CC") or "cc"
     if shutil.which(compiler) is None:
