--- a/tests/fleetlab/test_system_faults.py
+++ b/tests/fleetlab/test_system_faults.py
@@ -14,8 +14,8 @@
 from fleetlab.system_faults.control import SystemFault, SystemFaults
 from fleetlab.system_faults.library import MissingCompilerError, build_library, library_environment
 
-# Helpers for the code that triggers each fault in a process. That code prints the name of the
-# error, "short" after an incomplete transfer, or "fine".
+# Helpers for the code that triggers each fault in a process. That code prints "fine" if its calls
+# succeed, else the name of the error, "short" after an incomplete transfer, or "False".
 PROLOGUE = """
 import errno, os, select, socket, time
 def call_result(call):
--- a/tests/soak/builders.py
+++ b/tests/soak/builders.py
@@ -52,7 +52,7 @@
 
 
 def process_record(**changes: Any) -> ProcessRecord:
-    """Return the record of a process that has been ready since 1 s."""
+    """Return the record of a process that was ready at 1 s."""
     return ProcessRecord("n0", 7, **({"started_at": 0.5, "ready_at": 1.0} | changes))
 
 
--- a/tests/soak/support.py
+++ b/tests/soak/support.py
@@ -32,7 +32,7 @@
     seconds: float = 0.0
 
     def request_spec(self, number: int = 0, class_index: int = 0) -> RequestSpec:
-        """Return a request of a class, with the deadline of the class as its time-out."""
+        """Return a request of a class, with the deadline of the class as its timeout."""
         request_class = self.site.classes[class_index]
         return RequestSpec(
             f"{number:016x}", request_class.name, request_class.effect, request_class.deadline_s
--- a/tests/soak/test_drain_and_unbounded_responses.py
+++ b/tests/soak/test_drain_and_unbounded_responses.py
@@ -27,7 +27,8 @@
 ) -> None:
     """Guards against requests that arrive during a drain and are lost at SIGKILL.
 
-    It happened while all backends hung: the requests were still pending at the earliest SIGKILL.
+    All backends hang, so that the ingress itself has to respond. It once gave such requests a
+    deadline after the earliest SIGKILL.
     """
 
     async def test() -> None:
--- a/tests/soak/test_oracles.py
+++ b/tests/soak/test_oracles.py
@@ -55,13 +55,13 @@
         "lost",
         lambda: evidence(unanswered_request(first_on_connection=True)),
     ),
-    "SIGKILL finds a late request": (
+    "a forwarded request sent late in a drain is unanswered at SIGKILL": (
         "lost",
         lambda: evidence(
             unanswered_request(sent_at=12.0, ended_at=13.2), lives=[PAUSED], attempts=[HANGING]
         ),
     ),
-    "SIGKILL finds an unread request on an open connection": (
+    "an unread request sent late in a drain is on an open connection at SIGKILL": (
         "lost",
         lambda: evidence(unanswered_request(sent_at=12.0, ended_at=13.2), lives=[PAUSED]),
     ),
@@ -225,7 +225,7 @@
     ),
     "a served request": lambda: evidence(served_request(), log=ACCEPTED, attempts=[SERVED]),
     "a client that left": lambda: evidence(unanswered_request(left_at=10.2), attempts=[HANGING]),
-    "a process killed without a warning": lambda: evidence(
+    "a process killed without an earlier SIGTERM": lambda: evidence(
         unanswered_request(), lives=[KILLED], attempts=[HANGING], log=ACCEPTED
     ),
     "a request in transit while its idle connection was closed": lambda: evidence(
--- a/tests/soak/test_slow_start_budget.py
+++ b/tests/soak/test_slow_start_budget.py
@@ -7,8 +7,9 @@
 Each ingress divided the work that overloads a backend by its estimate of the work per request,
 which it derived from response times divided by its own requests at the backend, as if these were
 queued. They ran concurrently, so the estimate fell from 22 to 10.5 ms (the actual work is 25 ms),
-and the budget rose from 89 ms at a warmth of 0.20 to 242 ms at 0.59, for each of 4 ingresses that
-used the backend. The latter is 92 requests per second, while 47 overload the backend.
+and the budget rose from 89 ms at a capacity fraction of 0.20 to 242 ms at 0.59, for each of 4
+ingresses that used the backend. The latter is 92 requests per second, while 47 overload the
+backend.
 
 With 25 ms the fullest windows still reached 0.65 to 0.82 of the limit, 25 to 30 requests where the
 budgets added up to 13: each ingress counted in windows of its own, and two budgets could fall into
