--- a/sumacpost/server/connection_registry.py
+++ b/sumacpost/server/connection_registry.py
@@ -1,4 +1,4 @@
-"""All client connections: limits on their number, and time-outs of those without a request."""
+"""All client connections: limits on their number, and timeouts of those without a request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from math import inf
 from typing import Generic
 
-from sumacpost.policy.connection_rules import NotClosedReason
+from sumacpost.policy.connection_rules import CloseDenialReason
 from sumacpost.server.close_reason import CloseReason
 from sumacpost.server.connection_protocols import ConnectionType
 from sumacpost.server.connection_queue import ConnectionQueue
@@ -33,7 +33,7 @@
 # How many connections of a queue are examined for one to evict.
 MAX_EVICTION_EXAMINED = 8
 # A connection may be evicted if it has no request at all, or only an incomplete one.
-_EVICTABLE_REASONS = frozenset((None, NotClosedReason.REQUEST_INCOMPLETE))
+_EVICTABLE_REASONS = frozenset((None, CloseDenialReason.REQUEST_INCOMPLETE))
 
 log = logging.getLogger(__name__)
 
@@ -45,7 +45,8 @@
         open: all connections that have a transport, oldest first.
         waiting: connections without a complete request so far, or with an incomplete next one.
         idle: connections between requests.
-        closing: connections that have sent their last response; their input is discarded.
+        closing: connections that are ending; they read no further requests, and those that do not
+            end within LINGER_TIMEOUT_S are aborted.
         on_capacity_available: called when a connection ends or may be evicted, so that another can
             be accepted.
     """
@@ -104,7 +105,7 @@
         self.idle.discard(connection)
 
     def mark_waiting(self, connection: ConnectionType) -> None:
-        """Record that a request has begun; it has to be complete within REQUEST_TIMEOUT_S."""
+        """Record that a request has begun; from now on it has REQUEST_TIMEOUT_S to be complete."""
         self.idle.discard(connection)
         self.waiting.add(connection)
 
@@ -129,15 +130,17 @@
         self.idle.discard(connection)
         self.closing.add(connection)
 
-    # ---- eviction and time-outs
+    # ---- eviction and timeouts
 
     def eviction_candidate(self) -> ConnectionType | None:
-        """Return the connection whose loss costs least, or None if all have pending responses.
+        """Return the connection whose loss costs least, or None if none may be evicted.
 
-        Connections that have sent their last response come first, then connections without a
-        complete request, then idle ones. A connection in whose socket a complete request may be
-        waiting comes after these, and so does a new one, which has had no time to send its request;
-        new connections are not spared if many connections are waiting for a request.
+        Connections with pending responses, and those without a transport yet, are never evicted.
+
+        Closing connections come first, then connections without a complete request, then idle ones.
+        A connection in whose socket a complete request may be waiting comes after these, and so
+        does a new one, which has had no time to send its request; new connections are not spared if
+        many connections are waiting for a request.
         """
         many_waiting = len(self.waiting) > self._max_connections // WAITING_DIVISOR
         opened_before = inf if many_waiting else time.monotonic() - NEW_CONNECTION_GRACE_S
@@ -170,7 +173,7 @@
         to send the request again, on a new connection that may not be available.
         """
         while (expired := self.idle.oldest(before)) is not None:
-            if expired.not_closed_reason() is None:
+            if expired.close_denial_reason() is None:
                 self._close_idle_connection(expired, reason)
             else:
                 self.idle.add(expired)
@@ -192,7 +195,7 @@
         before: in monotonic seconds.
         """
         while (expired := self.waiting.oldest(before)) is not None:
-            if expired.not_closed_reason() is NotClosedReason.REQUEST_UNREAD:
+            if expired.close_denial_reason() is CloseDenialReason.REQUEST_UNREAD:
                 self.waiting.add(expired)
                 continue
             self.waiting.discard(expired)
@@ -226,6 +229,6 @@
     for connection in islice(queue, MAX_EVICTION_EXAMINED):
         if not queue.added_before(connection, before):
             return None
-        if connection.not_closed_reason() in _EVICTABLE_REASONS:
+        if connection.close_denial_reason() in _EVICTABLE_REASONS:
             return connection
     return None
--- a/tests/upstream/test_stalled_responses.py
+++ b/tests/upstream/test_stalled_responses.py
@@ -43,7 +43,7 @@
 def test_stalled_idempotent_request_is_hedged_long_before_its_deadline(
     cls: str, script: Any
 ) -> None:
-    """Without a hedged request, the ingress waited on one dead connection until the deadline."""
+    """Without a hedged request, the ingress waited on one silent connection until the deadline."""
 
     async def test() -> None:
         loop, fleet = asyncio.get_running_loop(), first_only(script)
@@ -99,7 +99,7 @@
             silent = await ingress.client()
             silent.write(request("vat-filing", 1, Request_Timeout=LONG))
             await until(lambda: len(ingress.backends[0].requests) == 1)
-            gateway, clock = ingress.gateway, ingress.bridge._clock
+            gateway, clock = ingress.gateway, ingress.ingress._clock
             (backend,), (call,) = gateway.endpoints.backends.values(), gateway.pending.values()
 
             def expected_latency_ms(now: float) -> float:
