--- a/fleetlab/soak/run.py
+++ b/fleetlab/soak/run.py
@@ -175,7 +175,8 @@
     async def _run_load(self) -> None:
         """Run clients and faults, then terminate all processes.
 
-        The clients keep sending meanwhile, unless the plan lets them leave first.
+        The clients keep sending until all processes have ended, unless the plan lets the clients
+        leave first.
         """
         stop = asyncio.Event()
         monitor = asyncio.create_task(self._waits.run())
--- a/fleetlab/soak/schedule.py
+++ b/fleetlab/soak/schedule.py
@@ -106,7 +106,8 @@
             that precedes the start of the processes.
         kind: the kind of the fault.
         target: the index of the ingress or the backend; ignored for a counter fault.
-        seconds: the duration of the fault, where it has one; for a clock step, the step.
+        seconds: the duration of the fault, where it has one; a crash lasts half of it, and a drain
+            exceeds the drain grace by half of it. For a clock step, the step.
         signals: the signals of a restart or reload, in order.
         gap_s: the time between two signals, in seconds.
     """
