--- a/fleetlab/soak/attempt_oracles.py
+++ b/fleetlab/soak/attempt_oracles.py
@@ -76,7 +76,7 @@
             yield Violation("window_over", request_id, detail)
 
 
-def check_attempts_after_client_left(evidence: Evidence) -> Iterable[Violation]:
+def check_attempts_after_disconnect(evidence: Evidence) -> Iterable[Violation]:
     """Check that no attempt starts more than 0.1 s after its client closed the connection.
 
     The general timing slack and the permitted pause of an ingress are added to that bound.
--- a/fleetlab/soak/oracles.py
+++ b/fleetlab/soak/oracles.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from fleetlab.soak.attempt_oracles import (
-    check_attempts_after_client_left,
+    check_attempts_after_disconnect,
     check_draining_backends,
     check_executions,
     check_forwarded_timeouts,
@@ -30,7 +30,7 @@
     check_rejections,
     check_extra_responses,
     check_executions,
-    check_attempts_after_client_left,
+    check_attempts_after_disconnect,
     check_forwarded_timeouts,
     check_draining_backends,
     check_slow_start,
--- a/sumacpost/counter/client.py
+++ b/sumacpost/counter/client.py
@@ -15,7 +15,8 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 0.5
-# Delay after a failed attempt to connect, or a connection lost soon and without a reply.
+# Delay after a failed attempt to connect, and after a connection that was lost without a reply
+# before it was STABLE_AFTER_S old.
 RECONNECT_DELAY_S = 0.2
 
 
@@ -49,25 +50,25 @@
         """Whether there is a connection that accepts calls."""
         return self._connection is not None and self._connection.connected
 
-    async def run(self, first_attempt_done: asyncio.Event) -> None:
+    async def run(self, first_connect_attempted: asyncio.Event) -> None:
         """Maintain a connection until cancelled.
 
-        `first_attempt_done` is set once the first attempt to connect has succeeded or failed, and
-        immediately if there is no counter.
+        `first_connect_attempted` is set once the first attempt to connect has succeeded or failed,
+        and immediately if there is no counter.
         """
         while self._address is not None:
             self._connection_ended.clear()
             connection = await self._connect(self._address)
             if connection is None:
-                first_attempt_done.set()
+                first_connect_attempted.set()
                 await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
             self._replace_connection(connection)
-            first_attempt_done.set()
+            first_connect_attempted.set()
             await self._connection_ended.wait()
             if not connection.allows_immediate_reconnect:
                 await asyncio.sleep(RECONNECT_DELAY_S)
-        first_attempt_done.set()
+        first_connect_attempted.set()
         await asyncio.Event().wait()
 
     async def _connect(self, address: Address) -> CounterConnection | None:
--- a/sumacpost/counter/connection.py
+++ b/sumacpost/counter/connection.py
@@ -21,12 +21,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_OUTSTANDING_CALLS = 1000  # calls without a reply on one connection
-STABLE_AFTER_S = 0.2  # a connection of this age is replaced immediately when it is lost
+MAX_UNREPLIED_CALLS = 1000  # calls without a reply on one connection
+STABLE_AFTER_S = 0.2  # a connection older than this is replaced immediately when it is lost
 TIMER_TOLERANCE_S = 0.0005  # deadlines that are this close are handled by the same timer
 
 # Silence timeout of a connection with unreplied calls, unless the call timeout is longer:
-FIRST_REPLY_TIMEOUT_S = 0.25  # before the first reply; perhaps no process serves the connection
+FIRST_REPLY_TIMEOUT_S = 0.25  # before the first reply; no process may be serving the connection
 SILENCE_LATENCY_FACTOR = 8.0  # after the first reply, multiple of the estimated reply latency
 MAX_SILENCE_S = 1.0  # upper limit of that multiple
 LATENCY_DECAY = 0.98  # factor applied to the estimated latency for each faster reply
@@ -88,11 +88,12 @@
         self._created_at = self._loop.time()
         self._last_reply_at = self._created_at
         self._unreplied: deque[CounterCall] = deque()  # in the order of the expected replies
-        self._waiting: deque[CounterCall] = deque()  # the newest of those, which have not timed out
+        # The newest of the unreplied calls: those that have not timed out.
+        self._waiting: deque[CounterCall] = deque()
         self._timer: Timer | None = None
         self._has_replied = False
         self._retired = False
-        # Outcome of the calls that still wait when the connection closes.
+        # Outcome of the calls that are still in _waiting when the connection closes.
         self._loss_outcome = Outcome.TIMEOUT
 
     @property
@@ -107,7 +108,7 @@
 
     def send(self, call: CounterCall, data: bytes) -> bool:
         """Write one encoded call; return False without writing if too many are unreplied."""
-        if len(self._unreplied) >= MAX_OUTSTANDING_CALLS or self._transport is None:
+        if len(self._unreplied) >= MAX_UNREPLIED_CALLS or self._transport is None:
             return False
         self._transport.write(data)
         self._unreplied.append(call)
--- a/sumacpost/counter/resp.py
+++ b/sumacpost/counter/resp.py
@@ -2,7 +2,8 @@
 
 The codec does no I/O: it consumes bytes and produces typed replies. A general RESP decoder would
 wait for as many bytes as a length prefix announces, and allocate memory for them. This one accepts
-only the two forms of reply to ADDGET, each of limited length, and rejects anything else at once:
+only the two forms of reply to ADDGET, each of limited length, and immediately rejects anything
+else:
 
 - a bulk string that contains a decimal number, the new total: `$<length>\\r\\n<total>\\r\\n`
 - an error, which means that nothing was added: `-BUSY <text>\\r\\n` or `-ERR <text>\\r\\n`
--- a/sumacpost/discovery/backoff.py
+++ b/sumacpost/discovery/backoff.py
@@ -2,8 +2,9 @@
 
 Receiving an endpoint list that can't be used costs as much as receiving a usable one. Polls become
 less frequent the longer unusable responses continue. After long unusable responses, only short ones
-are accepted for a time, so that an ingress receives a bounded number of bytes per second. Lists of
-changes fit that bound, so the endpoint list stays up to date if the agent can still send changes.
+are accepted for a limited time, so that an ingress receives a bounded number of bytes per second.
+Lists of changes fit that bound, so the endpoint list stays up to date if the agent can still send
+changes.
 """
 
 from __future__ import annotations
--- a/sumacpost/discovery/endpoint_list.py
+++ b/sumacpost/discovery/endpoint_list.py
@@ -81,7 +81,7 @@
         self._current_fields: dict[str, Any] | None = None
         self._current_key = ""
         self._entry_count = 0
-        self._present_count = 0  # entries of backends that are not gone
+        self._present_count = 0  # entries of backends that have not been removed
         self._stored: dict[BackendId, ListedBackend] = {}
         self._peers = DeduplicationPeers(reader.rank)
 
--- a/sumacpost/discovery/start_times.py
+++ b/sumacpost/discovery/start_times.py
@@ -79,8 +79,8 @@
         if not self._is_converted(entry):
             offset_ms = self._clock_offset_ms if self._clock_offset_ms < inf else 0.0
             start = min(now, entry.up_since_ms + offset_ms)
-            previous_boot_ms, previous_start_ms = self._converted.get(entry.backend, (inf, 0.0))
-            if entry.up_since_ms > previous_boot_ms:
+            previous_reported_ms, previous_start_ms = self._converted.get(entry.backend, (inf, 0.0))
+            if entry.up_since_ms > previous_reported_ms:
                 start = max(start, previous_start_ms + MIN_START_INTERVAL_MS)
             self._converted[entry.backend] = (entry.up_since_ms, start)
         return self._converted[entry.backend][1]
--- a/sumacpost/discovery/watch.py
+++ b/sumacpost/discovery/watch.py
@@ -32,14 +32,14 @@
 log = logging.getLogger(__name__)
 
 # Longest time for which the agent may hold a poll until there is a change. A silent connection is
-# detected only after it.
+# detected only after this time.
 LONG_POLL_MS = 1000
 # The longest hold while the agent is unavailable: when it recovers, its changes are needed
 # immediately.
 RECOVERY_POLL_MS = 1
 # Timeout for the first bytes of a response after the hold, and for each further piece. It is
 # shorter where the grace period of a drain is short, so that the recovery of a silent agent is
-# noticed within the grace period.
+# detected within the grace period.
 RESPONSE_TIMEOUT_S = 0.5
 RESPONSE_TIMEOUT_GRACE_FRACTION = 0.5
 MIN_RESPONSE_TIMEOUT_S = 0.1
--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -76,7 +76,7 @@
         )
         self.ready = False  # True once a backend has been listed
         self.recorder = EventRecorder()
-        self.backends = PoolManager(
+        self.pool_manager = PoolManager(
             max_connections=max_connections_per_side(config),
             connect_timeout_s=config.connect_timeout_s,
             backend_idle_timeout_s=config.backend_idle_timeout_s,
@@ -105,9 +105,11 @@
     def update_endpoints(self, update: EndpointListUpdate, addresses: AddressByBackend) -> None:
         """Apply an endpoint list update to the gateway and to the connection pools."""
         for entry in update.entries:
-            self.backends.update_address(entry.backend, addresses[entry.backend], entry.up_since_ms)
+            self.pool_manager.update_address(
+                entry.backend, addresses[entry.backend], entry.up_since_ms
+            )
         self._handle(update)
-        self.backends.apply_update(update)
+        self.pool_manager.apply_update(update)
         self.ready = self.ready or bool(addresses)
 
     def start_request(self, request: Request, response: ResponseChannel) -> ProxiedRequest:
@@ -287,7 +289,7 @@
         pending.attempts.append(attempt)
         self._request_recorder.record_attempt_started(pending, attempt, action.reason)
         if self._may_write(attempt):
-            self.backends.start(attempt)
+            self.pool_manager.start(attempt)
 
     def _encode(self, pending: ProxiedRequest) -> bytes:
         """Encode the request for a backend, with the time that is left until the deadline now."""
@@ -320,7 +322,7 @@
             self._respond(pending, 500, "internal_error")
             return False
         self._request_recorder.record_attempt_skipped(pending, attempt, reason)
-        self.backends.skip(attempt)
+        self.pool_manager.skip(attempt)
         return False
 
     def _respond(
@@ -349,5 +351,5 @@
     def _cancel_attempt(self, pending: ProxiedRequest, attempt: Attempt, outcome: Outcome) -> None:
         """Cancel an attempt and report its outcome, unless the attempt has ended."""
         if not attempt.ended:
-            self.backends.cancel(attempt)
+            self.pool_manager.cancel(attempt)
             self._report_attempt_end(pending, attempt, outcome)
--- a/sumacpost/pending_request.py
+++ b/sumacpost/pending_request.py
@@ -15,13 +15,13 @@
 class ResponseChannel(Protocol):
     """Sends the final response of one request, and detects that its client has disconnected."""
 
-    received_at: float  # monotonic clock, seconds: when the last byte of the request was read
+    received_at: float  # monotonic clock, seconds: when the last byte of the request was received
 
     def send(self, status: int, body: bytes = b"", headers: Headers = ()) -> None:
         """Send the final response."""
 
     def client_disconnected(self) -> bool:
-        """Return whether the client has disconnected, even if the loop has not reported it yet."""
+        """Return whether the client has disconnected, even if the loop has not detected it yet."""
 
 
 @dataclass(slots=True, eq=False)
--- a/sumacpost/policy/pending_request.py
+++ b/sumacpost/policy/pending_request.py
@@ -23,7 +23,7 @@
         objective_deadline: when the latency objective or, if earlier, the client's time ends.
         attempted_backends: the backend of each attempt, by attempt number.
         in_flight: the attempts that have not ended, by attempt number.
-        possibly_executed: whether an attempt may have run.
+        may_have_run: whether an attempt may have run.
         pinned_group: the deduplication group that retries by idempotency key are sent to.
         pinned_until: the end of the deduplication window.
     """
@@ -37,7 +37,7 @@
     objective_deadline: float = field(init=False)
     attempted_backends: list[Backend] = field(default_factory=list)
     in_flight: dict[int, InFlightAttempt] = field(default_factory=dict)
-    possibly_executed: bool = False
+    may_have_run: bool = False
     pinned_group: DeduplicationGroup | None = None
     pinned_until: float = inf
 
@@ -50,7 +50,7 @@
     def is_repeatable(self) -> bool:
         """Whether another attempt, by the gateway or the client, is safe at every backend."""
         idempotent = self.request_class.idempotency is Idempotency.IDEMPOTENT
-        return idempotent or not self.possibly_executed
+        return idempotent or not self.may_have_run
 
     @property
     def has_idempotency_key(self) -> bool:
@@ -68,7 +68,7 @@
         With an idempotency key, the first such attempt pins the retries to the deduplication group
         of its backend, until the deduplication window ends.
         """
-        self.possibly_executed = True
+        self.may_have_run = True
         if self.has_idempotency_key and self.pinned_group is None:
             endpoint = self.attempted_backends[attempt].endpoint
             self.pinned_group = deduplication_group(endpoint, self.request_class)
--- a/sumacpost/server/close_reason.py
+++ b/sumacpost/server/close_reason.py
@@ -8,7 +8,7 @@
 class CloseReason(Enum):
     """Why a client connection has ended; the values appear in the log."""
 
-    CLIENT_LEFT = "client_left"  # the client disconnected, or the network path failed
+    CLIENT_DISCONNECTED = "client_left"  # the client disconnected, or the network path failed
     RESPONSE_WAS_LAST = "response_was_last"  # the last response had Connection: close
     INVALID_INPUT = "invalid_input"  # the start of the next request can't be determined
     REQUEST_TIMEOUT = "request_timeout"  # no complete request arrived within the time limit
--- a/sumacpost/server/connection.py
+++ b/sumacpost/server/connection.py
@@ -42,7 +42,7 @@
 
 
 # Close reasons that permit unsent responses, as no client is left that would read them.
-_REASONS_WITHOUT_READER = frozenset((CloseReason.CLIENT_LEFT, CloseReason.INVALID_INPUT))
+_REASONS_WITHOUT_READER = frozenset((CloseReason.CLIENT_DISCONNECTED, CloseReason.INVALID_INPUT))
 # Enum members as module constants: up to Python 3.11, each access through the class costs a call.
 _READING = ConnectionState.READING
 _FINISHING = ConnectionState.FINISHING
@@ -76,7 +76,8 @@
         self._handler = handler
         self._reader = RequestReader(self._on_request)
         self._state = _READING
-        self._close_reason = CloseReason.CLIENT_LEFT  # until the ingress closes the connection
+        # The close reason until the ingress closes the connection.
+        self._close_reason = CloseReason.CLIENT_DISCONNECTED
         self._finish_reason = CloseReason.DRAIN_DEADLINE
         self._pending_responses: deque[PendingResponse] = deque()
         self._buffered_input: deque[ReceivedData] = deque()
@@ -329,7 +330,7 @@
         discarded until the client closes or LINGER_TIMEOUT_S has elapsed: closing a socket with
         unread bytes would reset the connection, and the response could be lost.
         """
-        if self._close_reason is CloseReason.CLIENT_LEFT:
+        if self._close_reason is CloseReason.CLIENT_DISCONNECTED:
             self._close_reason = CloseReason.RESPONSE_WAS_LAST
         self._discard_input()
         self._registry.mark_closing(self)
--- a/sumacpost/server/connection_protocols.py
+++ b/sumacpost/server/connection_protocols.py
@@ -18,7 +18,7 @@
         """Return why the connection may not be closed now, or None if it may."""
 
     def on_request_timeout(self, reason: CloseReason) -> None:
-        """Reject a request that is not complete in time, or close a connection without input."""
+        """Reject an incomplete request with status 408, or close a connection without one."""
 
     def finish(self, reason: CloseReason) -> None:
         """Stop reading from the socket, answer the requests already read, then close."""
--- a/sumacpost/server/connection_registry.py
+++ b/sumacpost/server/connection_registry.py
@@ -139,8 +139,8 @@
 
         Closing connections come first, then connections without a complete request, then idle ones.
         A connection in whose socket a complete request may be waiting comes after these, and so
-        does a new one, which has had no time to send its request; new connections are not spared if
-        many connections are waiting for a request.
+        does a new one, whose client has had no time to send a request; new connections get no such
+        grace period if many connections are waiting for a request.
         """
         many_waiting = len(self.waiting) > self._max_connections // WAITING_DIVISOR
         opened_before = inf if many_waiting else time.monotonic() - NEW_CONNECTION_GRACE_S
@@ -169,8 +169,9 @@
     def close_idle(self, before: float, reason: CloseReason) -> None:
         """Close the connections that have been idle since before a time, in monotonic seconds.
 
-        A connection with input that the event loop has not read yet is kept: its client would have
-        to send the request again, on a new connection that may not be available.
+        A connection with input that the event loop has not read yet stays open: if it were closed,
+        its client would have to send the request again, on a new connection that may not be
+        available.
         """
         while (expired := self.idle.oldest(before)) is not None:
             if expired.close_denial_reason() is None:
--- a/sumacpost/server/drain.py
+++ b/sumacpost/server/drain.py
@@ -18,13 +18,13 @@
 
 @dataclass
 class Drain:
-    """One shutdown in progress.
+    """One graceful shutdown in progress.
 
     Attributes:
         listener: the listening socket; accepts connections during the first phase.
         registry: all client connections.
         schedule: the times of the steps.
-        started_at: when the drain began on SIGTERM, in monotonic seconds.
+        started_at: when the drain started, on SIGTERM or SIGINT, in monotonic seconds.
         recorder: records the start of each phase.
     """
 
@@ -35,7 +35,7 @@
     recorder: EventRecorder
 
     async def run(self) -> None:
-        """Run the shutdown; return when all connections have ended or the process has to exit."""
+        """Run the drain; return when all connections have ended or the process has to exit."""
         self._record_phase("accepting")
         self.registry.close_idle(self.started_at, CloseReason.DRAIN_IDLE)
         await self._accept_until_quiet()
--- a/sumacpost/server/listener.py
+++ b/sumacpost/server/listener.py
@@ -112,16 +112,16 @@
         now = time.monotonic()
         self.last_accept_at = now
         queued_s = 0.0 if self._backlog_since is None else now - self._backlog_since
-        unread_s = unread_input_age_s(sock, queued_s)
+        unread_age_s = unread_input_age_s(sock, queued_s)
         self._registry.connection_accepted()
-        task = self._loop.create_task(self._connect_transport(sock, unread_s))
+        task = self._loop.create_task(self._connect_transport(sock, unread_age_s))
         self._opening_tasks.add(task)
         task.add_done_callback(self._opening_tasks.discard)
 
-    async def _connect_transport(self, sock: socket.socket, unread_s: float) -> None:
+    async def _connect_transport(self, sock: socket.socket, unread_age_s: float) -> None:
         try:
             await self._loop.connect_accepted_socket(
-                lambda: self._new_connection(sock, unread_s), sock
+                lambda: self._new_connection(sock, unread_age_s), sock
             )
         except OSError:
             sock.close()
--- a/sumacpost/server/request_handler.py
+++ b/sumacpost/server/request_handler.py
@@ -19,7 +19,7 @@
 
     Attributes:
         recorder: records events of requests and connections.
-        draining: whether the shutdown has started.
+        draining: whether the drain has started.
     """
 
     def __init__(self, ingress: Ingress, parser: RequestParser) -> None:
@@ -49,9 +49,9 @@
             self._ingress.cancel_request(response.request)
 
     def drain(self) -> ShutdownSchedule:
-        """Fail health checks from now on, and limit all deadlines to the end of the drain.
+        """Fail health checks from now on, and limit all deadlines as the drain's schedule requires.
 
-        Return the schedule of the drain.
+        Return the schedule.
         """
         self.draining = True
         return self._ingress.drain()
--- a/sumacpost/service.py
+++ b/sumacpost/service.py
@@ -101,7 +101,7 @@
         for task in (self._discovery_task, self._counter_task, maintenance_task):
             if task is not None:
                 task.stop()
-        self._ingress.backends.close()
+        self._ingress.pool_manager.close()
         log.info("drain finished: elapsed_s=%.3f", time.monotonic() - started_at)
         self._ingress.recorder.log_counts()
 
@@ -135,11 +135,11 @@
         counter = self._ingress.counter
         if counter is None:
             return
-        first_attempt_done = asyncio.Event()
+        first_connect_attempted = asyncio.Event()
         self._counter_task = SupervisedTask(
-            "counter-client", lambda: counter.run(first_attempt_done)
+            "counter-client", lambda: counter.run(first_connect_attempted)
         )
-        await first_attempt_done.wait()
+        await first_connect_attempted.wait()
 
     async def _listen(self, stop: asyncio.Event) -> bool:
         """Start to accept clients; return False if `stop` is set before that.
@@ -175,7 +175,7 @@
         """Close stale backend connections and enforce client timeouts at regular intervals."""
         while True:
             await asyncio.sleep(MAINTENANCE_INTERVAL_S)
-            self._ingress.backends.close_stale_connections()
+            self._ingress.pool_manager.close_stale_connections()
             self._server.enforce_timeouts()
 
 
--- a/sumacpost/upstream/attempt.py
+++ b/sumacpost/upstream/attempt.py
@@ -32,13 +32,16 @@
 class AttemptConnection(Protocol):
     """The connection to which an attempt is written."""
 
-    def abandon_attempt(self) -> None:
+    def cancel_attempt(self) -> None:
         """Close the connection without reporting an outcome for its attempt."""
 
 
 @dataclass(slots=True, eq=False, repr=False)
 class Attempt:
-    """One attempt of a request. It ends with exactly one outcome, unless it is cancelled."""
+    """One attempt of a request. The pools report exactly one outcome, unless it is cancelled.
+
+    The ingress, which cancels it, then reports the outcome itself.
+    """
 
     owner: object  # the request of the attempt; returned unchanged with the outcome
     index: int  # position among the attempts of the request, from 0
--- a/sumacpost/upstream/connection.py
+++ b/sumacpost/upstream/connection.py
@@ -40,7 +40,7 @@
     STALE = "stale"  # idle for too long, or found closed when it was to be used
     EVICTED = "evicted"  # closed to keep within the connection limit
     RETIRED = "retired"  # the backend moved, restarted or was removed, or the ingress stops
-    ATTEMPT_ABANDONED = "attempt_abandoned"
+    ATTEMPT_CANCELLED = "attempt_abandoned"
     INVALID_RESPONSE = "invalid_response"
     RESPONSE_STALLED = "response_stalled"
     RESPONSE_WAS_LAST = "response_was_last"  # the connection can't be reused after this response
@@ -173,10 +173,10 @@
             self._sock.shutdown(socket.SHUT_RDWR)
         self._transport.abort()
 
-    def abandon_attempt(self) -> None:
+    def cancel_attempt(self) -> None:
         """Close the connection without reporting an outcome for its attempt."""
         self.attempt = None
-        self.close(CloseReason.ATTEMPT_ABANDONED)
+        self.close(CloseReason.ATTEMPT_CANCELLED)
 
     def _reject_response(self, error: object) -> None:
         host, port = self._pool.address
--- a/sumacpost/upstream/pool.py
+++ b/sumacpost/upstream/pool.py
@@ -18,7 +18,8 @@
 from sumacpost.upstream.reuse_limit import ReuseLimit
 
 # Shortest time from a response to the next request on its connection. A backend may send a second
-# response some milliseconds after the first, which would be taken for that to the next request.
+# response some milliseconds after the first, which would be taken for the response to the next
+# request.
 REUSE_DELAY_S = 0.01
 
 
@@ -193,7 +194,7 @@
             async with asyncio.timeout(self._owner.connect_timeout_s):
                 await asyncio.get_running_loop().sock_connect(sock, self.address)
         except TimeoutError:
-            # after a delay of the event loop the timeout may fire before the connection is noticed
+            # after a delay of the event loop the timeout may fire before the connection is detected
             if not _is_connected(sock):
                 raise
 
@@ -210,7 +211,7 @@
 
 
 def _is_connected(sock: socket.socket) -> bool:
-    """Return whether a socket is connected, even if the event loop has not noticed it yet."""
+    """Return whether a socket is connected, even if the event loop has not detected it yet."""
     try:
         sock.getpeername()
     except OSError:
--- a/sumacpost/upstream/pool_manager.py
+++ b/sumacpost/upstream/pool_manager.py
@@ -90,7 +90,7 @@
     def cancel(self, attempt: Attempt) -> None:
         """End an attempt without reporting an outcome, and close the connection that carries it."""
         if attempt.connection is not None:
-            attempt.connection.abandon_attempt()
+            attempt.connection.cancel_attempt()
         elif attempt.pool is not None:
             attempt.pool.remove_waiting(attempt)
         attempt.mark_ended()
--- a/sumacpost/upstream/reuse_limit.py
+++ b/sumacpost/upstream/reuse_limit.py
@@ -22,7 +22,7 @@
 
     Attributes:
         max_idle_s: fixed idle time after which connections are closed, in seconds.
-        max_reuse_idle_s: present limit on the idle time for reuse, in seconds.
+        max_reuse_idle_s: current limit on the idle time for reuse, in seconds.
     """
 
     __slots__ = ("max_idle_s", "max_reuse_idle_s")
--- a/tests/diagnostics/test_event_recorder.py
+++ b/tests/diagnostics/test_event_recorder.py
@@ -46,7 +46,7 @@
         ) as ingress:
             ingress.backends[1].script = ingress.backends[0].script
             assert (await ingress.send(request("ledger-read"))).status == 429
-            counts = ingress.ingress.recorder.counts
+            counts = ingress.instance.recorder.counts
             assert counts[EventKind.REQUEST_ACCEPTED, "serving"] == 1
             assert counts[EventKind.ATTEMPT_STARTED, "first"] == 1
             assert counts[EventKind.ATTEMPT_STARTED, "retry"] == 1
--- a/tests/discovery/test_idle_clients.py
+++ b/tests/discovery/test_idle_clients.py
@@ -29,9 +29,11 @@
         self.connections = 0
         self._port = port
         sent = (b"", request()[:30], HEALTH_REQUEST)
-        self._tasks = [asyncio.create_task(self._stay(sent[n % len(sent)])) for n in range(count)]
+        self._tasks = [
+            asyncio.create_task(self._stay_connected(sent[n % len(sent)])) for n in range(count)
+        ]
 
-    async def _stay(self, data: bytes) -> None:
+    async def _stay_connected(self, data: bytes) -> None:
         for _ in range(30):
             with suppress(OSError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
--- a/tests/discovery/test_list_updates.py
+++ b/tests/discovery/test_list_updates.py
@@ -164,7 +164,7 @@
     run(test())
 
 
-def test_recovery_of_a_silent_agent_is_noticed_within_the_grace_period_of_a_drain() -> None:
+def test_recovery_of_a_silent_agent_is_detected_within_the_grace_period_of_a_drain() -> None:
     """Changes are needed as soon as the agent recovers; a poll held for 1 s would be too late."""
 
     async def test() -> None:
--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -37,24 +37,24 @@
 
 NOT_STARTED = b"HTTP/1.1 503 X\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 
-each_way_to_leave = pytest.mark.parametrize("how", ["closed", "reset", "half closed", "stays"])
+each_way_to_disconnect = pytest.mark.parametrize("how", ["closed", "reset", "half closed", "stays"])
 either_order = pytest.mark.parametrize("client_first", [True, False])
 
 
 # ---- requests waiting for the counter
 
 
-@each_way_to_leave
+@each_way_to_disconnect
 @either_order
 @pytest.mark.parametrize("event", ["granted", "connection lost"])
-def test_counter_reply_starts_no_attempt_for_a_client_that_left_in_the_same_iteration(
+def test_counter_reply_starts_no_attempt_for_a_client_that_disconnects_in_the_same_iteration(
     how: str, client_first: bool, event: str
 ) -> None:
     run(check_counter_event(how, client_first, event))
 
 
-@each_way_to_leave
-def test_counter_timeout_starts_no_attempt_for_a_client_that_left(how: str) -> None:
+@each_way_to_disconnect
+def test_counter_timeout_starts_no_attempt_for_a_disconnected_client(how: str) -> None:
     """Timers of a delayed loop iteration run before sockets are polled.
 
     The counter timeout is such a timer, so it could start an attempt before the loop detects that
@@ -115,10 +115,10 @@
 # ---- requests waiting for a retry or a hedged request
 
 
-@each_way_to_leave
+@each_way_to_disconnect
 @either_order
 @pytest.mark.parametrize("event", ["rejected", "malformed", "closed"])
-def test_no_retry_follows_an_attempt_that_fails_as_its_client_leaves(
+def test_no_retry_follows_an_attempt_that_fails_as_its_client_disconnects(
     how: str, client_first: bool, event: str
 ) -> None:
     async def test() -> None:
@@ -147,15 +147,15 @@
 
 def seconds_until_hedging(ingress: RunningIngress) -> float:
     """Return the seconds from now until the only attempt in flight is certainly overdue."""
-    inner_ingress = ingress.ingress
-    backends = inner_ingress._gateway.endpoints.backends.values()
+    instance = ingress.instance
+    backends = instance._gateway.endpoints.backends.values()
     (overdue_at,) = [sent.overdue_at for b in backends for sent in b.in_flight.values()]
-    return (overdue_at - inner_ingress._clock.now()) / 1000 + 0.05
+    return (overdue_at - instance._clock.now()) / 1000 + 0.05
 
 
-@each_way_to_leave
+@each_way_to_disconnect
 @pytest.mark.parametrize("timer_due", [True, False])
-def test_no_hedged_request_follows_for_a_client_that_left_before_its_timer(
+def test_no_hedged_request_follows_for_a_client_that_disconnected_before_its_timer(
     how: str, timer_due: bool
 ) -> None:
     """Timers of a delayed loop iteration run before sockets are polled.
@@ -215,10 +215,10 @@
             callback()
 
 
-@each_way_to_leave
+@each_way_to_disconnect
 @pytest.mark.parametrize("step", ["connected", "ready"])
 @pytest.mark.parametrize("attempt_kind", ["first", "retry", "hedged"])
-def test_connection_opened_as_its_client_leaves_carries_no_attempt(
+def test_connection_opened_as_its_client_disconnects_carries_no_attempt(
     how: str, step: str, attempt_kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An attempt's bytes are written one or two loop iterations after the socket is connected.
@@ -254,12 +254,12 @@
 # ---- requests that are buffered, unread in the socket, or in the listen queue
 
 
-@each_way_to_leave
+@each_way_to_disconnect
 @either_order
 @pytest.mark.parametrize(
     "following_input", [b"", slow_request(number=501), slow_request(number=501)[:40]]
 )
-def test_buffered_request_is_not_forwarded_if_its_client_leaves_as_a_response_goes_out(
+def test_buffered_request_is_not_forwarded_if_its_client_disconnects_during_a_response(
     how: str, client_first: bool, following_input: bytes
 ) -> None:
     """Further unread input of the client may hide the end of its connection."""
@@ -284,12 +284,12 @@
     run(test())
 
 
-@each_way_to_leave
+@each_way_to_disconnect
 @pytest.mark.parametrize("request_location", ["unread", "in the listen queue"])
 @pytest.mark.parametrize(
     "following_input", [b"", slow_request(number=501), slow_request(number=501)[:40]]
 )
-def test_request_unread_when_its_client_left_is_not_forwarded(
+def test_request_unread_when_its_client_disconnected_is_not_forwarded(
     how: str, request_location: str, following_input: bytes
 ) -> None:
     async def test() -> None:
@@ -314,8 +314,8 @@
     run(test())
 
 
-@each_way_to_leave
-def test_unread_bytes_do_not_hide_that_a_client_left(how: str) -> None:
+@each_way_to_disconnect
+def test_unread_bytes_do_not_hide_that_a_client_has_disconnected(how: str) -> None:
     """A peek at the socket returns only the unread bytes, not the end of the input after them."""
 
     async def test() -> None:
--- a/tests/server/test_connection_limits.py
+++ b/tests/server/test_connection_limits.py
@@ -86,7 +86,7 @@
     run(test())
 
 
-def test_idle_connections_take_only_part_of_the_capacity() -> None:
+def test_idle_connections_use_only_part_of_the_capacity() -> None:
     """Idle connections of clients that had sent one request once used up the whole capacity.
 
     With 80 descriptors the limit is 16 client connections, of which four may be idle. A client that
--- a/tests/server/test_disconnect_races.py
+++ b/tests/server/test_disconnect_races.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("how", ["closed", "reset"])
-def test_request_of_a_client_that_left_the_listen_queue_is_not_forwarded(
+def test_request_of_a_client_that_disconnected_in_the_listen_queue_is_not_forwarded(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The client disconnects before its connection is accepted; a backend connection is idle.
@@ -130,8 +130,8 @@
             class CancellingConnection(BackendConnection):
                 def __init__(self, pool: ConnectionPool, sock: socket.socket) -> None:
                     super().__init__(pool, sock)
-                    for pending in list(ingress.ingress._pending.values()):
-                        ingress.ingress.cancel_request(pending)
+                    for pending in list(ingress.instance._pending.values()):
+                        ingress.instance.cancel_request(pending)
 
             with monkeypatch.context() as patched:
                 patched.setattr("sumacpost.upstream.pool.BackendConnection", CancellingConnection)
--- a/tests/server/test_drain.py
+++ b/tests/server/test_drain.py
@@ -94,13 +94,13 @@
             late_client = await ingress.client()
             late_client.write(request("ledger-read", Request_Timeout=LONG_TIMEOUT))
             await ingress.wait_for_requests(1)
-            (pending,) = ingress.ingress._pending.values()
+            (pending,) = ingress.instance._pending.values()
             longest = max(c["hard_limit"] for c in SETTINGS["categories"])
             assert longest > 3000
             assert (
                 pending.deadline
-                <= ingress.ingress._drain_deadline
-                < ingress.ingress._clock.now() + 3000 + 700
+                <= ingress.instance._drain_deadline
+                < ingress.instance._clock.now() + 3000 + 700
             )
             timeout_s = float(
                 ingress.backends[0]
--- a/tests/server/test_drain_deadline.py
+++ b/tests/server/test_drain_deadline.py
@@ -119,7 +119,7 @@
     run(test())
 
 
-def test_idle_connection_whose_next_request_has_come_is_not_closed(
+def test_idle_connection_whose_next_request_has_arrived_is_not_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The event loop may not have read the request yet when the drain starts."""
@@ -150,7 +150,7 @@
         async with running_ingress(respond(), counter=never_respond, settings=settings) as ingress:
             client = await ingress.client()
             count = 0
-            while not ingress.counter.requests or not ingress.ingress._pending:
+            while not ingress.counter.requests or not ingress.instance._pending:
                 count += 1
                 client.write(
                     request(
@@ -166,6 +166,6 @@
             statuses = await read_statuses(client)
             assert statuses[-1] == b"429"
             await ingress.task
-            assert ingress.ingress.recorder.violation_count == 0
+            assert ingress.instance.recorder.violation_count == 0
 
     run(test())
--- a/tests/server/test_pipelining.py
+++ b/tests/server/test_pipelining.py
@@ -59,7 +59,7 @@
             await until(lambda: connection._buffered_bytes == len(b"".join(buffered_requests)))
             client.disconnect(how)
             await until(
-                lambda: not ingress.server.connections.open and not ingress.ingress._pending
+                lambda: not ingress.server.connections.open and not ingress.instance._pending
             )
             await until(
                 lambda: sum(b.connections_closed for b in ingress.backends) == MAX_PIPELINED
--- a/tests/server/test_requests.py
+++ b/tests/server/test_requests.py
@@ -69,7 +69,7 @@
     run(test())
 
 
-def test_requests_may_come_in_pieces_pipelined_and_chunked() -> None:
+def test_requests_may_arrive_in_pieces_pipelined_and_chunked() -> None:
     async def test() -> None:
         async with running_ingress(respond()) as ingress:
             client = await ingress.client()
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -94,7 +94,7 @@
 
     The ingress must still serve other clients.
     """
-    pending = ingress.ingress._pending
+    pending = ingress.instance._pending
     if how == "stays":
         await until(lambda: len(attempted_backends(ingress)) == attempts_before + 1)
         return
--- a/tests/support/ingress.py
+++ b/tests/support/ingress.py
@@ -64,25 +64,25 @@
         return self.service._server
 
     @property
-    def ingress(self) -> Ingress:
-        """The object of the program that connects sockets and gateway."""
+    def instance(self) -> Ingress:
+        """The Ingress object of the program, which connects sockets and gateway."""
         return self.service._ingress
 
     @property
     def gateway(self) -> Gateway:
         """The gateway, which makes the decisions of the policy."""
-        return self.ingress._gateway
+        return self.instance._gateway
 
     @property
     def pool_manager(self) -> PoolManager:
         """The connection pools of the backends."""
-        return self.ingress.backends
+        return self.instance.pool_manager
 
     @property
     def counter_client(self) -> CounterClient:
         """The counter client; assert that there is one."""
-        assert self.ingress.counter is not None
-        return self.ingress.counter
+        assert self.instance.counter is not None
+        return self.instance.counter
 
     async def wait_for_requests(self, count: int) -> None:
         """Wait until the backends have received exactly `count` requests in total."""
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -46,7 +46,7 @@
     outcome: Outcome | None = None  # None while the attempt is in flight
 
     @property
-    def possibly_executed(self) -> bool:
+    def may_have_run(self) -> bool:
         """Whether the attempt may have run the request."""
         return self.outcome is None or not self.outcome.never_ran
 
@@ -62,16 +62,16 @@
     concluded: bool = False
 
     @property
-    def possibly_executed_attempts(self) -> list[Attempt]:
+    def attempts_that_may_have_run(self) -> list[Attempt]:
         """The attempts that may have run the request."""
-        return [attempt for attempt in self.attempts if attempt.possibly_executed]
+        return [attempt for attempt in self.attempts if attempt.may_have_run]
 
     @property
     def may_be_rejected(self) -> bool:
-        """Whether the client may be told to retry the request."""
+        """Whether a rejection is safe, after which the client may retry the request."""
         request_class = self.request_class
         if (
-            not self.possibly_executed_attempts
+            not self.attempts_that_may_have_run
             or request_class.idempotency is Idempotency.IDEMPOTENT
         ):
             return True
@@ -171,7 +171,7 @@
             since is None or now <= since + self.settings.drain_grace_ms,
             f"{name}: sent to a draining or removed backend",
         )
-        if request.possibly_executed_attempts:
+        if request.attempts_that_may_have_run:
             self._check_repeat(now, send, request)
         if not request.attempts:
             self._check_ceiling(now, request.event)
@@ -186,7 +186,7 @@
             f"{name}: not idempotent, but sent again although it may have run",
         )
         if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
-            first = request.possibly_executed_attempts[0]
+            first = request.attempts_that_may_have_run[0]
             self._require(
                 now < first.sent_at + request_class.deduplication_window_ms,
                 f"{name}: sent again after the deduplication window",
@@ -209,9 +209,9 @@
                 return cell
 
     def _check_ceiling(self, now: float, event: RequestArrived) -> None:
-        """Take a request's units from this gateway's part of its customer's ceiling.
+        """Deduct a request's units from this gateway's part of its customer's ceiling.
 
-        The checker keeps the balance across restarts of the gateway.
+        The balance persists across restarts of the gateway.
         """
         plan = self.settings.plans[event.plan]
         if not plan.ceiling_rate:
--- a/tests/support/simulated_backend.py
+++ b/tests/support/simulated_backend.py
@@ -116,7 +116,7 @@
     report: tuple[float, ...] = (0.0, 0.0, 0.0)
 
     def capacity(self, now: float) -> float:
-        """Return the present capacity, as a fraction of the warm capacity."""
+        """Return the current capacity, as a fraction of the warm capacity."""
         if not self.up_since:
             return 1.0
         initial = self.scenario.initial_capacity
--- a/tests/test_attempt_rules.py
+++ b/tests/test_attempt_rules.py
@@ -66,7 +66,7 @@
             connection_gate.open()
             assert (await client.read_response()).status == 429
             assert not ingress.backends[0].requests
-            counts = ingress.ingress.recorder.counts
+            counts = ingress.instance.recorder.counts
             assert counts[EventKind.ATTEMPT_SKIPPED, "backend_not_ready"] == 1
 
     run(test())
@@ -82,15 +82,15 @@
             client = await ingress.client()
             client.write(request())
             await until(lambda: connection_gate.connect_calls == 1)
-            (pending,) = ingress.ingress._pending.values()
+            (pending,) = ingress.instance._pending.values()
             (attempt,) = pending.attempts
             attempt.written = True  # as if the first attempt may have run, unknown to the policy
             (policy_request,) = ingress.gateway.pending.values()
             policy_request.in_flight.clear()
             policy_request.attempted_backends.append(policy_request.attempted_backends[0])
-            ingress.ingress._execute_action(Send(pending.number, attempt.backend))
-            assert ingress.ingress.recorder.violation_count == 1
-            assert ingress.ingress.recorder.counts[EventKind.VIOLATION, "second_execution"] == 1
+            ingress.instance._execute_action(Send(pending.number, attempt.backend))
+            assert ingress.instance.recorder.violation_count == 1
+            assert ingress.instance.recorder.counts[EventKind.VIOLATION, "second_execution"] == 1
             connection_gate.open()
 
     run(test())
--- a/tests/test_blocked_event_loop.py
+++ b/tests/test_blocked_event_loop.py
@@ -108,7 +108,7 @@
             client.write(request("ledger-read", Request_Timeout=LONG_TIMEOUT))
             await ingress.wait_for_requests(1)
             (contacted,) = [peer for peer in ingress.backends if peer.requests]
-            (pending,) = ingress.ingress._pending.values()
+            (pending,) = ingress.instance._pending.values()
             await block_event_loop(overdue_after_s(ingress) + 0.1, write(contacted, OK_RESPONSE))
             assert (await client.read_response()).status == 200
             assert len(pending.attempts) == 1
@@ -144,7 +144,7 @@
 
 def response_has_started(ingress: RunningIngress) -> bool:
     """Return whether the ingress has read the first bytes of the response to its only request."""
-    (pending,) = ingress.ingress._pending.values()
+    (pending,) = ingress.instance._pending.values()
     connection = pending.attempts[0].connection
     return isinstance(connection, BackendConnection) and connection._stall_timer is not None
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -15,7 +15,7 @@
     return ResponseReader(max_body_bytes=16)
 
 
-def test_a_response_may_come_byte_by_byte(reader: ResponseReader) -> None:
+def test_a_response_may_arrive_byte_by_byte(reader: ResponseReader) -> None:
     *first, last = [RESPONSE[n : n + 1] for n in range(len(RESPONSE))]
     assert [reader.feed(byte) for byte in first] == [None] * len(first)
     assert reader.response_started
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -42,7 +42,7 @@
     assert "CheckHealth(backend=7)" in caplog.text
 
 
-def test_exception_on_a_counter_reply_fails_the_waiting_request_at_once(
+def test_exception_on_a_counter_reply_fails_the_waiting_request_immediately(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The event refers to no request, but the action that fails does."""
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -203,8 +203,8 @@
     """`stop` is set during the first attempt to connect to the counter."""
     attempts: list[asyncio.Event] = []
 
-    async def hang(counter: CounterClient, first_attempt_done: asyncio.Event) -> None:
-        attempts.append(first_attempt_done)
+    async def hang(counter: CounterClient, first_connect_attempted: asyncio.Event) -> None:
+        attempts.append(first_connect_attempted)
         await asyncio.Event().wait()
 
     monkeypatch.setattr(CounterClient, "run", hang)
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -93,9 +93,9 @@
             for filler in fillers:
                 filler.setblocking(False)
                 filler.connect_ex(("127.0.0.1", port))
-            outcomes = AttemptRecorder(port)
-            assert (await outcomes.outcome())[0] is Outcome.CONNECT_FAILED
-            assert outcomes.pool_manager.open_connections == 0
+            attempts = AttemptRecorder(port)
+            assert (await attempts.outcome())[0] is Outcome.CONNECT_FAILED
+            assert attempts.pool_manager.open_connections == 0
             for filler in fillers:
                 filler.close()
 
@@ -113,9 +113,9 @@
             writer.transport.abort()
 
         async with Peer(reset, read_half) as peer:
-            outcomes = AttemptRecorder(peer.port)
+            attempts = AttemptRecorder(peer.port)
             # exceeds the kernel buffers, so that the reset arrives while bytes are unwritten
-            assert (await outcomes.outcome(b"x" * 50_000_000))[0] is Outcome.CONNECT_FAILED
-            assert (await outcomes.outcome(b"x" * 10))[0] is Outcome.RESET
+            assert (await attempts.outcome(b"x" * 50_000_000))[0] is Outcome.CONNECT_FAILED
+            assert (await attempts.outcome(b"x" * 10))[0] is Outcome.RESET
 
     run(test())
--- a/tests/upstream/test_connection_races.py
+++ b/tests/upstream/test_connection_races.py
@@ -31,16 +31,16 @@
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = AttemptRecorder(peer.port)
-            attempt = outcomes.start()
+            attempts = AttemptRecorder(peer.port)
+            attempt = attempts.start()
             await until(lambda: connection_gate.connect_calls == 1)
-            outcomes.pool_manager.apply_update(
+            attempts.pool_manager.apply_update(
                 EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(1, state)])
             )
             assert not attempt.ended  # the whole list is applied first
             connection_gate.open()
-            await until(lambda: attempt.ended and outcomes.pool_manager.open_connections == 0)
-            assert [(a, o) for a, o, _ in outcomes.ended_attempts] == [(attempt, Outcome.SKIPPED)]
+            await until(lambda: attempt.ended and attempts.pool_manager.open_connections == 0)
+            assert [(a, o) for a, o, _ in attempts.ended_attempts] == [(attempt, Outcome.SKIPPED)]
             assert peer.requests == []
             assert peer.connections == 0
 
@@ -52,13 +52,13 @@
 ) -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = AttemptRecorder(peer.port)
-            attempt = outcomes.start()
+            attempts = AttemptRecorder(peer.port)
+            attempt = attempts.start()
             await until(lambda: connection_gate.connect_calls == 1)
-            outcomes.pool_manager.update_address(1, ("127.0.0.1", 1))
+            attempts.pool_manager.update_address(1, ("127.0.0.1", 1))
             connection_gate.open()
             await until(lambda: attempt.ended)
-            assert outcomes.ended_attempts[0][1] is Outcome.SKIPPED
+            assert attempts.ended_attempts[0][1] is Outcome.SKIPPED
             assert peer.requests == []
 
     run(test())
@@ -71,21 +71,21 @@
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = AttemptRecorder(peer.port)
+            attempts = AttemptRecorder(peer.port)
 
             class RemovingConnection(BackendConnection):
                 def __init__(self, pool: ConnectionPool, sock: socket.socket) -> None:
                     super().__init__(pool, sock)
                     assert attempt.connect_task is None
                     assert not attempt.ended
-                    outcomes.pool_manager.apply_update(
+                    attempts.pool_manager.apply_update(
                         EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(1, EndpointStatus.GONE)])
                     )
 
             monkeypatch.setattr("sumacpost.upstream.pool.BackendConnection", RemovingConnection)
-            attempt = outcomes.start()
-            await until(lambda: attempt.ended and outcomes.pool_manager.open_connections == 0)
-            assert outcomes.ended_attempts[0][1] is Outcome.SKIPPED
+            attempt = attempts.start()
+            await until(lambda: attempt.ended and attempts.pool_manager.open_connections == 0)
+            assert attempts.ended_attempts[0][1] is Outcome.SKIPPED
             assert peer.requests == []
 
     run(test())
@@ -143,11 +143,11 @@
 
 
 @pytest.mark.parametrize(
-    "cut",
+    "unusable_response",
     [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", b"noise that is no response\r\n\r\n"],
 )
 def test_first_connection_is_shut_down_before_the_next_attempt_is_written(
-    cut: bytes, monkeypatch: pytest.MonkeyPatch
+    unusable_response: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Without hedging, two attempts must not overlap.
 
@@ -157,18 +157,18 @@
 
     async def test() -> None:
         seen: list[bytes | None] = []
-        cut_off: list[asyncio.StreamWriter] = []
+        failed_writers: list[asyncio.StreamWriter] = []
         original = BackendConnection.start
 
         def start(connection: BackendConnection, attempt: Attempt) -> None:
-            seen.extend(peek(writer) for writer in cut_off)
+            seen.extend(peek(writer) for writer in failed_writers)
             original(connection, attempt)
 
-        async def break_off(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
-            cut_off.append(writer)
+        async def fail_response(peer: Peer, data: bytes, writer: asyncio.StreamWriter) -> None:
+            failed_writers.append(writer)
             for other in ingress.backends:
                 other.script = respond()
-            writer.write(cut)
+            writer.write(unusable_response)
 
         no_hedging: dict[str, Any] = {
             "permissions": SETTINGS["permissions"] | {"parallel_tries": False}
@@ -184,7 +184,7 @@
             await until(lambda: sum(len(p.idle) for p in ingress.pool_manager._pools.values()) == 2)
             await asyncio.sleep(2 * REUSE_DELAY_S)
             for backend in ingress.backends:
-                backend.script = break_off
+                backend.script = fail_response
             monkeypatch.setattr(BackendConnection, "start", start)
             response = await client.send(request("ledger-read", 2, Request_Timeout="20.000"))
             assert response.status == 200
@@ -219,16 +219,16 @@
             writer.write(early_response)
 
         async with Peer(early, first_bytes) as peer:
-            outcomes = AttemptRecorder(peer.port)
-            actual, _ = await outcomes.outcome(b"x" * 50_000_000)
+            attempts = AttemptRecorder(peer.port)
+            actual, _ = await attempts.outcome(b"x" * 50_000_000)
             assert actual is outcome
-            assert outcomes.pool_manager.open_connections == 0
+            assert attempts.pool_manager.open_connections == 0
 
     run(test())
 
 
 def test_connection_is_not_reused_while_a_second_response_may_arrive() -> None:
-    """A second response would be taken for that to the next request.
+    """A second response would be taken for the response to the next request.
 
     Such responses arrived up to 4 ms after the first, on a clock with a resolution of 1 ms; an idle
     time of 7 ms is too short.
@@ -236,14 +236,14 @@
 
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = AttemptRecorder(peer.port)
-            await outcomes.outcome()
-            (connection,) = outcomes.pool_manager._pools[1].idle
+            attempts = AttemptRecorder(peer.port)
+            await attempts.outcome()
+            (connection,) = attempts.pool_manager._pools[1].idle
             connection.idle_since = asyncio.get_running_loop().time() - 0.007
-            assert outcomes.start().connection is None  # it gets a new connection
+            assert attempts.start().connection is None  # it gets a new connection
             connection.idle_since = asyncio.get_running_loop().time() - 0.02
-            assert outcomes.start().connection is connection
-            await until(lambda: len(outcomes.ended_attempts) == 3)
+            assert attempts.start().connection is connection
+            await until(lambda: len(attempts.ended_attempts) == 3)
 
     run(test())
 
@@ -253,17 +253,17 @@
 
     async def test() -> None:
         async with Peer(never_respond) as peer:
-            outcomes = AttemptRecorder(peer.port)
-            first = outcomes.start()
+            attempts = AttemptRecorder(peer.port)
+            first = attempts.start()
             await until(lambda: len(peer.requests) == 1)
-            second = outcomes.start()
-            (old,) = outcomes.pool_manager._pools.values()
+            second = attempts.start()
+            (old,) = attempts.pool_manager._pools.values()
             assert second.pool is old
-            outcomes.pool_manager.update_address(1, ("127.0.0.1", 1))
-            outcomes.pool_manager.cancel(second)
+            attempts.pool_manager.update_address(1, ("127.0.0.1", 1))
+            attempts.pool_manager.cancel(second)
             assert not old.waiting
             peer.writers[0].write(OK_RESPONSE)
-            await until(lambda: first.ended and outcomes.pool_manager.open_connections == 0)
+            await until(lambda: first.ended and attempts.pool_manager.open_connections == 0)
             assert len(peer.requests) == 1
 
     run(test())
@@ -272,11 +272,11 @@
 def test_restarted_backend_gets_new_connections() -> None:
     async def test() -> None:
         async with Peer(respond()) as peer:
-            outcomes = AttemptRecorder(peer.port)
-            await outcomes.outcome()
-            outcomes.pool_manager.update_address(1, ("127.0.0.1", peer.port), 7.0)
-            assert outcomes.pool_manager.open_connections == 0
-            assert (await outcomes.outcome())[0] is Outcome.OK
+            attempts = AttemptRecorder(peer.port)
+            await attempts.outcome()
+            attempts.pool_manager.update_address(1, ("127.0.0.1", peer.port), 7.0)
+            assert attempts.pool_manager.open_connections == 0
+            assert (await attempts.outcome())[0] is Outcome.OK
             assert peer.connections == 2
 
     run(test())
--- a/tests/upstream/test_reuse_limit.py
+++ b/tests/upstream/test_reuse_limit.py
@@ -13,7 +13,7 @@
 )
 
 BACKEND_IDLE_TIMEOUT_S = 30.0
-AT_ONCE_S = STALE_RESET_WINDOW_S / 2
+IMMEDIATE_RESET_S = STALE_RESET_WINDOW_S / 2
 
 
 @pytest.fixture
@@ -27,9 +27,11 @@
 
 
 def test_stale_connection_reduces_the_limit_below_its_idle_time(limit: ReuseLimit) -> None:
-    limit.record_reset(idle_s=5.0, elapsed_s=AT_ONCE_S)
+    limit.record_reset(idle_s=5.0, elapsed_s=IMMEDIATE_RESET_S)
     assert limit.max_reuse_idle_s == pytest.approx(4.0)
-    limit.record_reset(idle_s=9.0, elapsed_s=AT_ONCE_S)  # longer than the limit at that point
+    limit.record_reset(
+        idle_s=9.0, elapsed_s=IMMEDIATE_RESET_S
+    )  # longer than the limit at that point
     assert limit.max_reuse_idle_s == pytest.approx(3.2)
 
 
@@ -40,13 +42,13 @@
 
 
 def test_limit_has_a_minimum_that_rules_out_non_retryable_attempts(limit: ReuseLimit) -> None:
-    limit.record_reset(idle_s=0.0, elapsed_s=AT_ONCE_S)
+    limit.record_reset(idle_s=0.0, elapsed_s=IMMEDIATE_RESET_S)
     assert limit.max_reuse_idle_s == MIN_REUSE_IDLE_S
     assert not limit.allows_non_retryable
 
 
 def test_successful_responses_raise_the_limit_gradually(limit: ReuseLimit) -> None:
-    limit.record_reset(idle_s=NON_RETRYABLE_REUSE_IDLE_S, elapsed_s=AT_ONCE_S)
+    limit.record_reset(idle_s=NON_RETRYABLE_REUSE_IDLE_S, elapsed_s=IMMEDIATE_RESET_S)
     reduced_s = limit.max_reuse_idle_s
     limit.record_success()
     assert reduced_s < limit.max_reuse_idle_s < 1.05 * reduced_s
--- a/tests/upstream/test_stalled_responses.py
+++ b/tests/upstream/test_stalled_responses.py
@@ -99,7 +99,7 @@
             silent = await ingress.client()
             silent.write(request("vat-filing", 1, Request_Timeout=LONG))
             await until(lambda: len(ingress.backends[0].requests) == 1)
-            gateway, clock = ingress.gateway, ingress.ingress._clock
+            gateway, clock = ingress.gateway, ingress.instance._clock
             (backend,), (call,) = gateway.endpoints.backends.values(), gateway.pending.values()
 
             def expected_latency_ms(now: float) -> float:
--- a/tests/upstream/test_unbounded_responses.py
+++ b/tests/upstream/test_unbounded_responses.py
@@ -48,13 +48,13 @@
 ) -> None:
     async def test() -> None:
         async with Peer(script) as peer:
-            outcomes = AttemptRecorder(peer.port)
-            actual, response = await outcomes.outcome()
+            attempts = AttemptRecorder(peer.port)
+            actual, response = await attempts.outcome()
             assert actual is outcome
             if outcome is Outcome.OK:
                 assert response is not None
                 assert not response.keep_alive
-            await until(lambda: outcomes.pool_manager.open_connections == 0)
+            await until(lambda: attempts.pool_manager.open_connections == 0)
 
     run(test())
 
