--- a/fleetlab/command.py
+++ b/fleetlab/command.py
@@ -203,7 +203,7 @@
 )
 @SEED_OPTION
 def pairs(out: Path, sizes_text: str, replacements: int, seed: int) -> None:
-    """Model the subsets of all gateways by the former scheme (rank) and the current (subset)."""
+    """Model the subsets of all gateways by the former scheme, rank, and the current one, subset."""
     sizes = parse_sizes(sizes_text)
     out.mkdir(parents=True, exist_ok=True)
     commit = current_commit()
--- a/fleetlab/discovery_server.py
+++ b/fleetlab/discovery_server.py
@@ -14,12 +14,12 @@
 from fleetlab.versioned_list import JsonObject, VersionedList
 
 LIST_PATH = "/v1/servers"
-CHUNK_BYTES = 64 * 1024  # of a body per write; also the size of the send buffer
+CHUNK_BYTES = 64 * 1024  # bytes of a body per write; also the size of the send buffer
 MAX_HOLD_MS = 60_000
 OVERSIZED_BYTES = 256 * 1024 * 1024  # Content-Length of a list that no reader should read in full
-NESTING_DEPTH = 200_000  # of arrays
+NESTING_DEPTH = 200_000  # nested arrays in a deeply nested list
 ENDLESS_CHUNK_ENTRIES = 400  # entries in each chunk of an endless list
-ENDLESS_PAUSE_S = 0.005  # between the chunks of an endless list
+ENDLESS_PAUSE_S = 0.005  # pause between the chunks of an endless list
 
 _NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
--- a/fleetlab/http_connection.py
+++ b/fleetlab/http_connection.py
@@ -26,7 +26,7 @@
         return cls(*await asyncio.open_connection(host, port))
 
     async def request(self, message: bytes) -> int:
-        """Send a complete request, read the whole response and return its status."""
+        """Send a complete request, read the complete response and return its status."""
         self.writer.write(message)
         head = await self.reader.readuntil(b"\r\n\r\n")
         if (length := _CONTENT_LENGTH.search(head)) is not None:
--- a/fleetlab/load_generator.py
+++ b/fleetlab/load_generator.py
@@ -11,7 +11,7 @@
 
 MAX_CONNECTIONS = 256
 REQUEST_TIMEOUT_S = 2.0
-TIMEOUT_GRACE_S = 1.0  # from the timeout of a request until the generator stops waiting for it
+TIMEOUT_GRACE_S = 1.0  # time for which the generator waits beyond the timeout of a request
 NO_RESPONSE = 0  # counted in place of a status
 
 
--- a/fleetlab/pairs.py
+++ b/fleetlab/pairs.py
@@ -1,4 +1,4 @@
-"""A model of subsetting in a whole fleet: the effects of a replaced backend and a failed zone.
+"""A model of subsetting in an entire fleet: the effects of a replaced backend and a failed zone.
 
 A pair consists of a gateway and a backend in its subset.
 """
--- a/fleetlab/process_stats.py
+++ b/fleetlab/process_stats.py
@@ -8,8 +8,8 @@
 
 MEMINFO = Path("/proc/meminfo")
 KB_PER_MB = 1024
-MAX_MEMORY_SHARE = 1 / 2  # of the machine's memory, used by a run
-MIN_AVAILABLE_SHARE = 1 / 8  # of the machine's memory, available while a run lasts
+MAX_MEMORY_SHARE = 1 / 2  # fraction of the machine's memory that a run may use
+MIN_AVAILABLE_SHARE = 1 / 8  # fraction of the machine's memory that has to remain available
 
 # Indexes of fields in /proc/PID/stat, counted after the name of the command.
 _USER_TIME_FIELD = 11
--- a/fleetlab/processes.py
+++ b/fleetlab/processes.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping
 
 MAX_PROCESSES = 300
-TERMINATION_GRACE_S = 6.0  # from SIGTERM to SIGKILL
-MAX_OUTPUT_LINES = 500  # kept of standard output and of standard error, per process
+TERMINATION_GRACE_S = 6.0  # time from SIGTERM to SIGKILL
+MAX_OUTPUT_LINES = 500  # last lines kept of each output stream of a process
 
 
 class ChildProcess:
--- a/fleetlab/real.py
+++ b/fleetlab/real.py
@@ -10,7 +10,8 @@
 from fleetlab.real_session import RealSession
 from fleetlab.results import Figures
 
-ESTIMATED_RUN_MB = 800.0  # of ingress, servers and load, for the memory check before a run
+# Estimated memory of ingress, servers and load, for the memory check before a run.
+ESTIMATED_RUN_MB = 800.0
 BASELINE_BACKENDS = 200
 BASELINE_MAX_SECONDS = 3.0
 
@@ -19,7 +20,7 @@
     """Return the figures of one ingress.
 
     A figure is None if it could not be measured. If the ingress never becomes ready, the figures of
-    requests are left out, and its memory, CPU time, stalls of health checks, polls and the bytes
+    requests are left out, and its memory, CPU time, latency of health checks, polls and the bytes
     written by discovery are measured. CPU time, polls and bytes are counted from the time at which
     the ingress was ready, or began to listen if it never was ready. The bytes are those handed to
     the system: if the ingress does not read a list to its end, they are more than it has read.
--- a/fleetlab/real_environment.py
+++ b/fleetlab/real_environment.py
@@ -26,10 +26,10 @@
     # Maximum time until ready. The load also lasts this long, plus real_session.DRAIN_WATCH_S.
     seconds: float = 10.0
     seed: int = 0
-    index: int = 0  # of the ingress among the gateways
+    index: int = 0  # index of the ingress among the gateways
     known: int = 0  # backends listed in the configuration of the ingress
     rate: float = REQUESTS_PER_S / INGRESSES  # requests per second
-    changes_per_s: float = 1.0  # of the endpoint list
+    changes_per_s: float = 1.0  # changes of the endpoint list per second
 
 
 @dataclass(frozen=True, slots=True)
--- a/fleetlab/real_session.py
+++ b/fleetlab/real_session.py
@@ -22,12 +22,13 @@
 from fleetlab.results import Figures
 from fleetlab.site import config_text
 
-START_TIMEOUT_S = 10.0  # for the ingress to listen
+START_TIMEOUT_S = 10.0  # time in which the ingress has to start listening
 START_POLL_S = 0.01
-DRAIN_WATCH_S = 6.0  # for which the requests to a draining port are counted
-DRAIN_QUIET_S = 1.0  # without requests, at the end of DRAIN_WATCH_S, to count as stopped
-BUSIEST_PORT_WATCH_S = 1.0  # to find the port with most requests
-LOAD_WARM_UP_S = 0.3  # of load, before the drain is measured
+DRAIN_WATCH_S = 6.0  # time for which the requests to a draining port are counted
+# The requests count as stopped if none arrives in this time before the end of DRAIN_WATCH_S.
+DRAIN_QUIET_S = 1.0
+BUSIEST_PORT_WATCH_S = 1.0  # time for which requests are counted to find the busiest port
+LOAD_WARM_UP_S = 0.3  # duration of the load before the drain is measured
 
 _SERVING = re.compile(rb"serving: name=\S* address=([\d.]+:\d+)")
 
--- a/fleetlab/soak/attempt_oracles.py
+++ b/fleetlab/soak/attempt_oracles.py
@@ -100,7 +100,7 @@
 
 
 def check_forwarded_timeouts(evidence: Evidence) -> Iterable[Violation]:
-    """Check that the Request-Timeout sent to a backend is at most what the client has left."""
+    """Check that a forwarded Request-Timeout is at most the time that the client has left."""
     allowed_s = FORWARDED_TIMEOUT_SLACK_S + SLACK_S
     requests = {request.request_id: request for request in evidence.record.requests}
     for attempt in evidence.record.attempts:
@@ -118,7 +118,7 @@
 def check_draining_backends(evidence: Evidence) -> Iterable[Violation]:
     """Check that draining or removed backends receive nothing once the drain grace has elapsed.
 
-    The grace starts when the sending ingress was notified of the state.
+    The grace starts when the sending ingress is notified of the state.
     """
     grace_s = evidence.site.drain_grace_s + SLACK_S + PAUSE_ALLOWANCE_S
     ingress_of = {request.request_id: request.ingress for request in evidence.record.requests}
@@ -152,7 +152,7 @@
 
 
 def _last_state(states: Sequence[tuple[float, str]], at: float) -> tuple[float, str]:
-    """Return the time and value of the last state change up to a time; active if there is none."""
+    """Return time and value of the last state change up to the given time; active without one."""
     return next(
         ((since, state) for since, state in reversed(states) if since <= at),
         (0.0, "active"),
@@ -164,7 +164,7 @@
 
     The limit is computed for the end of the window. Exceeding it violates slow_start where over two
     thirds of the requests came from ingresses that had been notified of the start: an ingress whose
-    agent is silent takes the backend for warm. Notified ingresses may therefore send at most two
+    agent is silent treats the backend as warm. Notified ingresses may therefore send at most two
     thirds of the limit; with more, they would violate slow_start as soon as an ingress that was
     notified late sends the rest. That share is checked as slow_start_room.
     """
--- a/fleetlab/soak/client.py
+++ b/fleetlab/soak/client.py
@@ -12,7 +12,8 @@
 from fleetlab.soak.records import ClientRequest, Effect
 from fleetlab.stand_in import reset_connection, split_address
 
-# A response at most this late earns nothing but is no violation; a later one counts as lost.
+# Longest permitted time from a deadline to the response. A late response within this time earns
+# nothing but is not a violation; a later one counts as lost.
 MAX_LATENESS_S = 0.5
 EXTRA_WAIT_S = 3.0  # further wait for a lost response: the time of its arrival shows the cause
 CONNECT_TIMEOUT_S = 2.0
@@ -155,7 +156,7 @@
                 self.close()
 
     async def leave(self, record: ClientRequest, after_s: float, reset: bool) -> None:
-        """Close the connection after a time, unless its response or its end was read before."""
+        """Close the connection after the given time, unless receiving the response ends first."""
         receiving = asyncio.ensure_future(self.receive(record))
         await asyncio.wait([receiving], timeout=after_s)
         if receiving.done():
--- a/fleetlab/soak/endpoint_list.py
+++ b/fleetlab/soak/endpoint_list.py
@@ -24,7 +24,7 @@
     NONE = "none"
     SILENT = "silent"  # no response on this connection, even after the fault
     RESET = "reset"  # open connections are reset, later ones at their first poll
-    TORN = "torn"  # half of the response, then a close
+    TORN = "torn"  # half of the body, then a close
 
 
 @dataclass
@@ -48,7 +48,7 @@
         changed.set()
 
     def changes_since(self, version: int | None) -> list[ListChange]:
-        """Return the changes since a version, or all for None; each change created one version."""
+        """Return the changes since a version, or all for None; each change creates one version."""
         return self.changes[0 if version is None else max(0, version - FIRST_VERSION) :]
 
 
--- a/fleetlab/soak/evidence.py
+++ b/fleetlab/soak/evidence.py
@@ -1,9 +1,9 @@
 """The evidence that the oracles of a run check, and the violations that they report.
 
-The protocol's rules have 50 ms of slack of their own, and an ingress may be paused for 150 ms; most
-time bounds include one or both. An event beyond its bound is excused by at most the time for which,
-by the trace of waits, the ingress or the soak itself waited for a processor or a disk at the end of
-the measured interval.
+The rules of the platform's protocol have 50 ms of slack, and an ingress may be paused for 150 ms;
+most time bounds include one or both. An event beyond its bound is excused by at most the time for
+which, by the trace of waits, the ingress or the soak itself waited for a processor or a disk at the
+end of the measured interval.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from fleetlab.soak.records import Attempt, AttemptResult, ProcessRecord, RunRecord
 from fleetlab.soak.site import SoakSite
 
-SLACK_S = 0.05  # slack of the protocol's rules on sockets
+SLACK_S = 0.05  # slack of the rules that the platform's protocol sets for sockets
 PAUSE_ALLOWANCE_S = 0.15  # longest permitted pause of an ingress
 EXCUSED_WAIT_WINDOW_S = 1.0  # waits this long before the end of an event may have delayed it
 MAX_BOUND_RATIO = 100.0  # highest recorded ratio, also recorded for events that never occurred
@@ -108,7 +108,7 @@
         return {match for text in self.logs.values() for match in _ACCEPTED.findall(text)}
 
     def process_at(self, ingress: str, at: float) -> ProcessRecord | None:
-        """Return the process of an ingress that ran at a time, or None."""
+        """Return the process of an ingress that ran at the given time, or None."""
         for process in self.record.lives:
             ended_at = process.ended_at if process.ended_at is not None else float("inf")
             if process.ingress == ingress and process.started_at <= at <= ended_at:
--- a/fleetlab/soak/faults.py
+++ b/fleetlab/soak/faults.py
@@ -62,9 +62,9 @@
 
     Attributes:
         process: the process of the ingress.
-        agent: the present discovery agent.
+        agent: the current discovery agent.
         population: the clients.
-        agents: all agents so far, including the present one.
+        agents: all agents so far, including the current one.
         lock: serializes restarts and reloads of the ingress.
     """
 
@@ -87,7 +87,7 @@
         record: where faults and backend starts are recorded.
         random: the generator of delays and backend behaviours.
         counter_path: the proxy in front of the counter, if there is a counter.
-        disrupted_backends: the indices of the backends at which a crash, a cut-off or a replacement
+        disrupted_backends: the indexes of the backends at which a crash, a cut-off or a replacement
             is in progress.
     """
 
@@ -149,7 +149,7 @@
     async def _signal(self, process: IngressProcess, fault: PlannedFault) -> None:
         """Send a series of signals, and SIGKILL if the process has not exited.
 
-        SIGKILL follows the first SIGTERM at the earliest time that the protocol permits.
+        SIGKILL follows the first SIGTERM at the earliest time that the platform permits.
         """
         terminated_at = None
         for name in fault.signals:
--- a/fleetlab/soak/ingress_process.py
+++ b/fleetlab/soak/ingress_process.py
@@ -125,7 +125,7 @@
             self._process.send_signal(signum)
 
     async def pause(self, seconds: float) -> None:
-        """Stop the process for a time, like a machine that is paused."""
+        """Stop the process for the given time, like a machine that is paused."""
         self.send_signal(signal.SIGSTOP)
         try:
             await asyncio.sleep(seconds)
@@ -146,7 +146,7 @@
         return True
 
     async def terminate(self, kill_after_s: float) -> None:
-        """Send SIGTERM, then SIGKILL if the process has not exited after a time."""
+        """Send SIGTERM, then SIGKILL if the process has not exited within the given time."""
         self.send_signal(signal.SIGTERM)
         if not await self.wait(kill_after_s):
             await self.kill()
--- a/fleetlab/soak/population.py
+++ b/fleetlab/soak/population.py
@@ -19,7 +19,7 @@
 MAX_THINK_S = 0.25  # longest pause of a client between two requests
 MAX_IDLE_S = 2.5  # longest idle time that a client leaves on its connection before a request
 RAMP_S = 1.5  # time over which the clients start
-MAX_PIPELINED = 4  # most requests that an occasional pipelining client sends at once
+MAX_PIPELINED = 4  # most requests in flight of an occasionally pipelining client
 PIPELINE_DEPTH = 6  # requests in flight on the connection of a continuously pipelining client
 BAD_CLIENT_DEADLINE_S = 3.0  # time within which a bad client has to get an error or a close
 BAD_CLIENT_WAIT_S = 4.0  # time for which a bad client waits for an error or a close
@@ -34,7 +34,7 @@
         reset: a client that leaves does so with a reset.
         slow_writer: the client writes its request in pieces.
         idle: the client leaves the connection idle before the request.
-        pipeline: the client sends several requests at once.
+        pipeline: the client sends several requests before it reads their responses.
         shorter_timeout: the client sets a shorter timeout than the deadline of the class.
     """
 
@@ -127,7 +127,7 @@
             await connection.receive(record)
 
     async def _pipeline(self, connection: ClientConnection) -> None:
-        """Send several requests at once.
+        """Send several requests before reading their responses.
 
         All have the same timeout, since a response cannot precede that of an earlier request.
         """
@@ -238,7 +238,7 @@
         )
 
     async def open_idle_connections(self, size: int, seconds: float) -> None:
-        """Open a number of idle connections, and close them after a time."""
+        """Open a number of idle connections, and close them after the given time."""
         writers = []
         try:
             for _ in range(size):
--- a/fleetlab/soak/process_oracles.py
+++ b/fleetlab/soak/process_oracles.py
@@ -8,7 +8,8 @@
 from fleetlab.soak.evidence import Evidence, Violation, first_termination_signal_at
 from fleetlab.soak.records import ProcessRecord
 
-AUXILIARY_CONNECTIONS = 2  # per process: to discovery and the counter, not always open
+# Connections of a process to discovery and the counter, which are not always open.
+AUXILIARY_CONNECTIONS = 2
 
 _FAULT_PATTERN = re.compile(
     r"rule violated|event failed|supervised task failed|Traceback|left without a response"
@@ -18,10 +19,10 @@
 def check_process_exits(evidence: Evidence) -> Iterable[Violation]:
     """Check that each process becomes ready, exits only on a signal and completes its drain.
 
-    After SIGTERM or SIGINT it has to exit with code 0, or to log the end of its drain before the
-    earliest SIGKILL unless it was paused in the second before that. The interpreter may still be
-    running at SIGKILL, since the drain ends only when all client connections have ended or its time
-    has run out.
+    After SIGTERM or SIGINT it has to exit with code 0. If SIGKILL ends it first, it must have
+    logged the end of its drain, unless it was paused in the second before SIGKILL. The interpreter
+    may still be running at SIGKILL, since the drain ends only when all client connections have
+    ended or its time has elapsed.
     """
     for process in evidence.record.lives:
         terminated_at = first_termination_signal_at(process)
@@ -43,9 +44,9 @@
 
 
 def check_descriptors(evidence: Evidence) -> Iterable[Violation]:
-    """Check for leaked descriptors: compare those open after all clients left with the start.
+    """Check that no descriptors leak: no more are open after all clients left than at the start.
 
-    Connections to backends may stay open for a while. Only their sum over all processes is known,
+    Connections to backends may stay open for some time. Only their sum over all processes is known,
     so the check is on the sum of descriptors.
     """
     counted = [
@@ -65,7 +66,7 @@
 
 
 def _paused_before(process: ProcessRecord, at: float) -> bool:
-    """Return whether a process was sent SIGSTOP in the second up to a time."""
+    """Return whether a process was sent SIGSTOP in the second up to the given time."""
     return any(name == "SIGSTOP" and at - 1.0 < when <= at for name, when in process.signals)
 
 
--- a/fleetlab/soak/run.py
+++ b/fleetlab/soak/run.py
@@ -47,7 +47,7 @@
         lives: the number of ingress processes in total, including restarts.
         seconds: the duration of the load, in seconds.
         requests: the number of requests sent.
-        statuses: the number of responses, by status; 0 stands for no response.
+        statuses: the number of requests, by the status of the response; 0: without a response.
         attempts: the number of attempts that the backends received.
         faults: the number of faults that began, and of system calls that failed, by kind.
         closest: the largest ratio of observed value to bound, by rule.
--- a/fleetlab/soak/schedule.py
+++ b/fleetlab/soak/schedule.py
@@ -38,7 +38,7 @@
     the path of all ingresses to the counter.
     """
 
-    RESTART = "restart"  # a series of signals, SIGKILL if it does not exit, a new process
+    RESTART = "restart"  # a series of signals, SIGKILL if the process does not exit, a new process
     KILL = "kill"  # SIGKILL without an earlier signal, then a new process
     RELOAD = "reload"  # the agent moves to a new address, SIGHUP once or several times
     PAUSE = "pause"  # SIGSTOP for up to 0.15 s
@@ -51,10 +51,10 @@
     BACKEND_UNREACHABLE = "backend_unreachable"  # no new connections, open ones are silent
     BACKEND_DRAINS = "backend_drains"  # draining, removed, then ready as a new incarnation
     BACKEND_FORGETS = "backend_forgets"  # idle connections are reset at their next request
-    LIST_SILENT = "list_silent"
-    LIST_RESET = "list_reset"
-    LIST_TORN = "list_torn"
-    LIST_UNBOUNDED = "list_unbounded"
+    LIST_SILENT = "list_silent"  # polls get no response
+    LIST_RESET = "list_reset"  # connections to the agent are reset
+    LIST_TORN = "list_torn"  # half of the body of each response, then a close
+    LIST_UNBOUNDED = "list_unbounded"  # responses without a stated length
     COUNTER_DELAYED = "counter_delayed"  # each chunk is delayed
     COUNTER_SILENT = "counter_silent"
     COUNTER_RESET = "counter_reset"
@@ -106,8 +106,9 @@
             that precedes the start of the processes.
         kind: the kind of the fault.
         target: the index of the ingress or the backend; ignored for a counter fault.
-        seconds: the duration of the fault, where it has one; a crash lasts half of it, and a drain
-            exceeds the drain grace by half of it. For a clock step, the step.
+        seconds: the duration of the fault in seconds, where it has one. A crash lasts half of this
+            value, and a drain lasts half of this value longer than the drain grace. For a clock
+            step: the step, in seconds.
         signals: the signals of a restart or reload, in order.
         gap_s: the time between two signals, in seconds.
     """
--- a/fleetlab/soak/system_schedule.py
+++ b/fleetlab/soak/system_schedule.py
@@ -14,6 +14,7 @@
 ALL_INGRESSES = -1  # target of a fault that affects all ingresses
 BEFORE_START_S = -1.0  # start time of a fault that takes effect before the processes start
 CLOCK_STEPS_S = (-3600.0, -5.0, 5.0, 3600.0)
+# Kinds drawn for each ingress; CLOCK_STEP and SYSTEM_LOG are drawn separately.
 _SYSTEM_KINDS = (
     FaultKind.SYSTEM_ACCEPT,
     FaultKind.SYSTEM_SOCKET,
--- a/fleetlab/sweep.py
+++ b/fleetlab/sweep.py
@@ -21,12 +21,13 @@
 from fleetlab.sweep_figures import Measurement, compute_figures
 from fleetlab.synthetic_messages import SyntheticReport, SyntheticSpec
 
-READY_TIMEOUT_S = 30.0  # until all ingresses have a list and have served their preloaded customers
+# Time in which all ingresses have to receive a list and serve their preloaded customers.
+READY_TIMEOUT_S = 30.0
 READY_POLL_S = 0.1
 MEASURE_POLL_S = 0.5
 REPORT_MARGIN_S = 1.5  # longer than the interval between reports
-PROCESS_MARGIN_S = 30.0  # beyond the end of the run, after which an orphaned process exits
-DEFAULT_BACKENDS = 200  # on all axes other than "backends"
+PROCESS_MARGIN_S = 30.0  # time from the latest end of the run until an orphan exits
+DEFAULT_BACKENDS = 200  # number of backends on all axes other than "backends"
 INGRESSES_PER_PROCESS = 40
 
 # Estimated memory, for the check before a run.
@@ -50,7 +51,7 @@
     classes: int = 3
     changes_per_s: float = 0.0
     rate: float = 20.0  # requests per second at each ingress
-    burst: float = 1000.0  # of a customer's plan: units, and units per second
+    burst: float = 1000.0  # burst of a customer's plan in units, and its quota in units per second
 
     @property
     def estimated_mb(self) -> float:
--- a/fleetlab/sweep_figures.py
+++ b/fleetlab/sweep_figures.py
@@ -55,8 +55,10 @@
     """Return the figures of a point from the reports of its processes.
 
     held_entries, held_mb, peak_mb, control_cpu_percent, control_bytes_per_s and counter_calls_per_s
-    are means per ingress. Figures that need every ingress to be ready and every process to have
-    reported twice are None otherwise.
+    are means per ingress. unheld_share is the largest fraction of a minimum subset that an ingress
+    lacks. told_ms is the longest time from a backend's start to the notification of an ingress.
+    Figures that need every ingress to be ready and every process to have reported twice are None
+    otherwise.
     """
     figures = _list_figures(measurement)
     spans = [_Span(reports[0], reports[-1]) for reports in measurement.reports if len(reports) > 1]
--- a/fleetlab/synthetic_ingress.py
+++ b/fleetlab/synthetic_ingress.py
@@ -36,7 +36,7 @@
 from sumacpost.supervisor import SupervisedTask
 
 ATTEMPT_MS = 1.0  # elapsed time reported for every attempt
-TIME_LEFT_MS = 2000.0  # until the deadline of a request, at its arrival
+TIME_LEFT_MS = 2000.0  # time from the arrival of a request to its deadline
 GATEWAY_SPREAD = 3  # number of ingresses that receive a customer's requests
 
 
@@ -48,7 +48,7 @@
     sent: int = 0
     rejected: int = 0
     failed: int = 0
-    changes: int = 0  # of entries of the endpoint list
+    changes: int = 0  # changed entries of the endpoint list
     counter_calls: int = 0
     counter_added: int = 0
 
@@ -69,7 +69,7 @@
         self.gateway = Gateway(config.settings, config.seed)
         self.counts = IngressCounts()
         self.addresses: AddressByBackend = {}
-        self.version = 0  # of the endpoint list
+        self.version = 0  # version of the endpoint list
         self._loop = asyncio.get_running_loop()
         self._clock_offset_s = time.time() - time.monotonic()
         self._max_notification_ms = 0.0
--- a/fleetlab/synthetic_messages.py
+++ b/fleetlab/synthetic_messages.py
@@ -15,11 +15,11 @@
     first_index: int = 0  # index of the process's first ingress among the gateways
     rate: float = 20.0  # requests per second at each ingress
     customers: int = 1000
-    preloaded_customers: int = 0  # before the load, each ingress serves a request of each
+    preloaded_customers: int = 0  # customers of whom each ingress serves a request before the load
     classes: int = 3
-    burst: float = 1000.0  # of the plan: units, and units per second
+    burst: float = 1000.0  # burst of the only plan in units, and its quota in units per second
     seed: int = 0
-    seconds: float = 60.0  # after which the process exits
+    seconds: float = 60.0  # time after which the process exits
 
 
 class SyntheticReport(msgspec.Struct, frozen=True):
--- a/fleetlab/synthetic_process.py
+++ b/fleetlab/synthetic_process.py
@@ -25,8 +25,8 @@
 from sumacpost.config import Config, read_config
 
 REPORT_INTERVAL_S = 1.0
-BATCH_INTERVAL_S = 0.05  # between batches of requests
-LIST_POLL_S = 0.01  # between checks whether all ingresses have a list
+BATCH_INTERVAL_S = 0.05  # time between batches of requests
+LIST_POLL_S = 0.01  # time between checks whether all ingresses have a list
 PRELOAD_BATCH = 200  # customers served before other tasks can run
 MAX_SECONDS = 86_400
 EXIT_BAD_SPEC = 2
--- a/fleetlab/system_faults/control.py
+++ b/fleetlab/system_faults/control.py
@@ -18,7 +18,7 @@
     CONNECT = 2  # EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ENOBUFS, ETIMEDOUT, EAGAIN or EINTR
     WAIT_INTERRUPTED = 3  # a wait for events fails with EINTR
     SHORT_READ = 4  # a read returns at most 64 bytes
-    SHORT_WRITE = 5  # a write takes at most 64 bytes
+    SHORT_WRITE = 5  # a write accepts at most 64 bytes
     BROKEN_CONNECTION = 6  # an outgoing connection fails: ETIMEDOUT, EHOSTUNREACH, ECONNRESET, ...
     LOG_WRITE = 7  # writes to standard error fail: ENOSPC, EIO, EPIPE or EAGAIN
 
@@ -31,7 +31,7 @@
 
 
 class SystemFaults:
-    """The faults of one process, which may be changed while it runs and survive its restart.
+    """The faults of one process; they may be changed while it runs, and survive its restart.
 
     Attributes:
         path: the control file, which the process maps.
@@ -59,5 +59,5 @@
         return int(failed_calls)
 
     def close(self) -> None:
-        """Unmap the control file; the process keeps its present faults."""
+        """Unmap the control file; the process keeps its current faults."""
         self._memory.close()
--- a/tests/fleetlab/test_synthetic_ingress.py
+++ b/tests/fleetlab/test_synthetic_ingress.py
@@ -31,7 +31,7 @@
 
         for _ in range(4):
             one.simulate_request(5, 0)
-        # The customer's requests come to 3 ingresses, each with a third of the burst of 6 units.
+        # The customer's requests go to 3 ingresses, each with a third of the burst of 6 units.
         assert (one.counts.sent, one.counts.rejected) == (2, 2)
         other.update_endpoints(update, addresses)
         other.simulate_request(5, 0)
--- a/tests/soak/test_drain_and_unbounded_responses.py
+++ b/tests/soak/test_drain_and_unbounded_responses.py
@@ -66,7 +66,7 @@
 def test_response_without_a_length_that_is_reset_is_not_forwarded(
     effect: Effect, tmp_path: Path
 ) -> None:
-    """Guards against a truncated body that is taken for a complete response after a reset."""
+    """Guards against a truncated body that is forwarded as a complete response after a reset."""
 
     async def test() -> None:
         site = SoakSite((SoakClass("search", effect, 2.0),))
--- a/tests/soak/test_oracles.py
+++ b/tests/soak/test_oracles.py
@@ -43,7 +43,7 @@
         "lost",
         lambda: evidence(unanswered_request(), attempts=[HANGING]),
     ),
-    "a request is neither answered nor closed": (
+    "a request is not answered and its connection is not closed": (
         "lost",
         lambda: evidence(unanswered_request(ended_at=None)),
     ),
@@ -51,7 +51,7 @@
         "lost",
         lambda: evidence(served_request(answered_at=12.7), attempts=[SERVED]),
     ),
-    "a new connection is closed with no response": (
+    "a new connection is closed without a response": (
         "lost",
         lambda: evidence(unanswered_request(first_on_connection=True)),
     ),
@@ -174,7 +174,7 @@
             ],
         ),
     ),
-    "a bad client is left waiting": (
+    "a bad client gets no response and no close": (
         "bad_client_waits",
         lambda: evidence(bad_clients=[BadClient("n0", "half a head", 10.0)]),
     ),
