--- a/sumacpost/model/actions.py
+++ b/sumacpost/model/actions.py
@@ -58,7 +58,7 @@
 
     Attributes:
         request: the number of the request.
-        attempt: the index of the attempt.
+        attempt: the number of the attempt.
     """
 
     request: int
@@ -132,12 +132,12 @@
 
 @dataclass(slots=True)
 class AddToCounter:
-    """Add to a number of the shared counter; CounterReplied reports the result, exactly once.
+    """Add to a total in the shared counter; CounterReplied reports the result, exactly once.
 
     Attributes:
-        name: the name of the number.
+        name: the name of the total, an integer.
         amount: the amount to add, in quota units; may be negative.
-        ttl_ms: the time to live of the number.
+        ttl_ms: the time to live of the total.
     """
 
     name: int
--- a/sumacpost/model/events.py
+++ b/sumacpost/model/events.py
@@ -1,7 +1,7 @@
 """The events that a gateway handles. All times are in milliseconds.
 
-A request is identified by its number, and an attempt of a request by its index, which counts from 0
-in the order of sending.
+A request is identified by its number. The attempts of a request are numbered from 0 in the order of
+sending.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
     OK = 1  # successful response, healthy backend, or amount added
     ERROR = 2  # the backend responded with an error
-    REJECTED = 3  # the peer shed the attempt or call without running it
+    REJECTED = 3  # the backend or counter refused the attempt or call, and did not run it
     TIMEOUT = 4  # no response in time
     CONNECT_FAILED = 5  # no connection could be established in time
     RESET = 6  # the connection was lost, or the response was invalid
@@ -124,7 +124,7 @@
 
     Attributes:
         request: the number of the request.
-        attempt: the index of the attempt.
+        attempt: the number of the attempt.
         backend: the backend that the attempt was sent to.
         elapsed_ms: time since the attempt was sent.
     """
@@ -141,14 +141,14 @@
 
     Attributes:
         request: the number of the request.
-        attempt: the index of the attempt.
+        attempt: the number of the attempt.
         backend: the backend that the attempt was sent to.
         outcome: how the attempt ended.
         elapsed_ms: time since the attempt was sent.
         concluded: whether the request has its final response, from this attempt or earlier.
         quota_used_percent: the customer's use of its plan's rate at all gateways, in a recent
             period of the meter; None if it is not reported.
-        actual_units: the units that the request has cost, which replace the estimate; 0: unknown.
+        actual_units: the units that the request has used, which replace the estimate; 0: unknown.
         report: the values of the backend's load report, in the order of Settings.report_fields;
             may be empty.
     """
@@ -243,10 +243,10 @@
     """The reply to a counter call; there is exactly one per call.
 
     Attributes:
-        name: the name of the number that was added to.
+        name: the name of the total that was added to.
         outcome: OK if the amount was added; if `outcome.never_ran` is true, it was not added.
         elapsed_ms: how long the call took.
-        total: the new total of the number, in quota units; valid only if the outcome is OK.
+        total: the new total, in quota units; valid only if the outcome is OK.
     """
 
     name: int
--- a/sumacpost/policy/connection_rules.py
+++ b/sumacpost/policy/connection_rules.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSnapshot:
-    """The state of a client connection at one moment.
+    """The state of a client connection at one point in time.
 
     Attributes:
         responses_owed: requests that have been read and not answered.
--- a/sumacpost/policy/fleet_estimate.py
+++ b/sumacpost/policy/fleet_estimate.py
@@ -16,8 +16,8 @@
 MIN_UNITS = 0.01  # lower bound on the units of a request in the estimate of its work
 # Initial service time, as a fraction of the latency objective: slower requests could not meet the
 # objective under load.
-MAX_SERVICE_FRACTION = 0.2
-FAILURE_INFLATION = 10.0  # inflation that a failure counts as, at least
+INITIAL_SERVICE_FRACTION = 0.2
+FAILURE_INFLATION = 10.0  # lowest inflation that a failure counts as
 # Inflation that a failure counts as if one connection or one malformed response may be the cause.
 MILD_FAILURE_INFLATION = 3.0
 # An observation for the fleet is bounded by the fleet's inflation times this, plus 1.
@@ -53,7 +53,7 @@
         self.mean_work_ms = sum(self.unit_ms) / len(self.unit_ms)  # mean work of recent requests
         self.long_term_mean_work_ms = self.mean_work_ms  # mean work over many requests
         self._requests_sent = 0
-        initial_ms = self.mean_work_ms * INITIAL_UNITS_PER_OBJECTIVE * MAX_SERVICE_FRACTION
+        initial_ms = self.mean_work_ms * INITIAL_UNITS_PER_OBJECTIVE * INITIAL_SERVICE_FRACTION
         self.service_time = ServiceTime(initial_ms)
         self._service_time_from_warm = False  # whether service_time is that of warm backends
         self.warm_capacity_per_s = 0.0  # requests per second of a warm backend, from load reports
--- a/sumacpost/policy/gateway.py
+++ b/sumacpost/policy/gateway.py
@@ -74,7 +74,7 @@
     def write_denial_reason(self, now: float, number: int, attempt: int) -> DenialReason | None:
         """Return why an attempt that was started may not be written now, or None if it may.
 
-        If it may, the caller has to write it at once: slow start counts its work from now on.
+        If it may, the caller has to write it immediately: slow start counts its work from now.
         """
         request = self.pending.get(number)
         if request is None:
@@ -89,13 +89,13 @@
         return reason
 
     def _deadline_reached(self, now: float, event: events.DeadlineReached) -> None:
-        """Conclude a request that is still pending, such as one held for the counter's reply."""
+        """Conclude a request that is still pending, such as one waiting for a counter reply."""
         request = self.pending.get(event.request)
         if request is not None:
             self._reject_or_fail(now, request, DenialReason.DEADLINE)
 
     def _drain_started(self, now: float, event: events.DrainStarted) -> None:
-        """Bring forward the deadlines of pending requests; the process ends before later ones."""
+        """Limit the deadlines of pending requests: the process exits at the end of the drain."""
         latest = now + event.respond_within_ms
         for request in self.pending.values():
             request.deadline = min(request.deadline, latest)
@@ -135,7 +135,7 @@
             self._reject(now, request, DenialReason.QUOTA)
 
     def _ask_counter(self, now: float, request: PendingRequest) -> None:
-        """Hold a request until the counter replies, unless overload would reject it anyway."""
+        """Let a request wait for the counter's reply, unless overload would reject it anyway."""
         threshold = self.load_balancer.admission_threshold(request.event.request_class)
         if self.load_balancer.choose(now, request, threshold) is None:
             self._reject(now, request, DenialReason.OVERLOAD)
@@ -144,7 +144,7 @@
         self._actions += self.quota_sync.report_usage(now, request.customer, request)
 
     def _counter_replied(self, now: float, event: events.CounterReplied) -> None:
-        """Send or reject the request held for a reply, then return unused units to the counter."""
+        """Send or reject the request that waits for the reply, then return unused units."""
         call = self.quota_sync.apply_reply(now, event, self.pending)
         if call is None:
             return
@@ -158,7 +158,7 @@
         """Send a request that the quota permits, unless the fleet is overloaded."""
         customer = request.customer
         units = request.event.units
-        threshold = inf  # requests held for the counter have passed their threshold before
+        threshold = inf  # a request that waited for the counter has passed its threshold
         if grant in (Grant.BUCKET, Grant.BEYOND_QUOTA):
             threshold = self.load_balancer.admission_threshold(request.event.request_class)
             if grant is Grant.BEYOND_QUOTA:
@@ -184,8 +184,8 @@
         retry_after_ms = wait_ms * self.settings.retry_after
         self._conclude(request, Reject(request.event.request, retry_after_ms, reason))
 
-    def _conclude(self, request: PendingRequest, answer: Action) -> None:
-        self._actions.append(answer)
+    def _conclude(self, request: PendingRequest, response: Action) -> None:
+        self._actions.append(response)
         self.pending.pop(request.event.request, None)
 
     def _send(
--- a/sumacpost/policy/load_balancing.py
+++ b/sumacpost/policy/load_balancing.py
@@ -11,7 +11,7 @@
 from sumacpost.policy.slow_start import SlowStart
 from sumacpost.policy.subsetting import MAX_CANDIDATES
 
-# Backends within this factor of the lowest expected latency are chosen among at random, so that
+# The choice among backends within this factor of the lowest expected latency is random, so that
 # gateways don't all send to the same one.
 TIE_FACTOR = 1.15
 # Admission threshold of the highest priority, as a fraction of the latency objective.
--- a/sumacpost/policy/pending_request.py
+++ b/sumacpost/policy/pending_request.py
@@ -20,7 +20,8 @@
         work_ms: the expected time of the request on an idle backend.
         now: the time of arrival.
         deadline: when the final response is due.
-        objective_deadline: when the latency objective or, if earlier, the client's time ends.
+        objective_deadline: the end of the latency objective, or the client's deadline if it is
+            earlier.
         attempted_backends: the backend of each attempt, by attempt number.
         in_flight: the attempts that have not ended, by attempt number.
         possibly_executed: whether an attempt may have run.
@@ -59,7 +60,7 @@
 
     @property
     def last_attempt(self) -> int:
-        """The number of the latest attempt; -1 before the first."""
+        """The number of the latest attempt; -1 before the first attempt."""
         return len(self.attempted_backends) - 1
 
     def record_possible_execution(self, attempt: int, sent_at: float) -> None:
--- a/sumacpost/policy/quota.py
+++ b/sumacpost/policy/quota.py
@@ -17,13 +17,15 @@
 # multiplied by the counter call rate.
 ASSUMED_REFILL_FRACTION = 0.15
 RETRY_RESERVE_FRACTION = 0.1  # fraction of the share's burst reserved for marked retries
-NO_SHOW_MS = 2000.0  # a marked retry this late is not expected any more and leaves the return queue
+# A marked retry that is this late is not expected any more: its place in the return queue is freed.
+NO_SHOW_MS = 2000.0
 # Use is reported to the counter in batches of this fraction of the burst.
 REPORT_BATCH_FRACTION = 0.08
 # Customers without requests expire after this, or once their buckets are full if that takes longer.
 EXPIRY_MS = 20_000.0
 EXPIRIES_PER_REQUEST = 2  # more than the one customer that a request can add
-MAX_FRESH_TOTAL = 0.01  # a smaller total in the counter means that its name is new or was lost
+# A total in the counter of fewer units than this means that its name is new or was lost.
+MAX_FRESH_TOTAL = 0.01
 
 
 @dataclass(slots=True, eq=False)
@@ -38,8 +40,8 @@
         refilled_at: the time up to which bucket and ceiling are refilled.
         number: the number of the customer.
         unreported_units: units used and not reported to the counter; negative: reported, not used.
-        gateway_started_at: the start of this gateway. Units that it used of the ceiling before are
-            unknown, so the ceiling of a new customer fills from then on.
+        gateway_started_at: the start of this gateway. The units of the ceiling that were used
+            before are unknown, so the ceiling of a new customer fills from then on.
         initial_share: an even share of the quota.
         quota_share: the fraction of the plan's quota that this gateway may use.
         tokens: units in the bucket.
@@ -95,7 +97,10 @@
         return not self.plan.ceiling_rate or self.ceiling_tokens >= units
 
     def has_tokens(self, units: float, keep_reserve: bool) -> bool:
-        """Return whether the bucket covers these units; keep_reserve: without the retry reserve."""
+        """Return whether the bucket covers these units.
+
+        keep_reserve: whether the reserve for marked retries has to remain in the bucket.
+        """
         plan = self.plan
         reserve = RETRY_RESERVE_FRACTION * plan.burst * self.quota_share if keep_reserve else 0.0
         return not plan.rate or self.tokens - reserve >= units
@@ -105,11 +110,11 @@
         fill_rate = self.plan.rate * self.quota_share
         return self.return_queue.schedule(now, units, fill_rate, no_show_ms)
 
-    def settle_units(self, units: float, charged_units: float) -> None:
+    def settle_units(self, actual_units: float, charged_units: float) -> None:
         """Replace the units charged for an answered request by the units that it used."""
-        self.return_queue.record_units(units)
-        self.tokens -= units - charged_units
-        self.unreported_units += units - charged_units
+        self.return_queue.record_units(actual_units)
+        self.tokens -= actual_units - charged_units
+        self.unreported_units += actual_units - charged_units
 
     def adjust_share(self, now: float, over_quota: bool) -> None:
         """Adjust the share, at most once in SHARE_INTERVAL_MS.
@@ -144,7 +149,7 @@
         reported_units: the units of use that the call added.
         age_ms: how long the name has been in use.
 
-        Return the units by which the name's total is too low, as its balance exceeds the limit.
+        Return the shortfall of the name's total: the units by which its balance exceeds the limit.
         """
         plan = self.plan
         balance = plan.burst - previous_total + age_ms / 1000 * plan.rate
@@ -164,7 +169,7 @@
 
 
 class CustomerTable:
-    """The customers with recent requests. Others are dropped: a new entry is equivalent."""
+    """The customers with recent requests. Others are dropped, as a new entry is equivalent."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self.by_number: dict[int, CustomerQuota] = {}  # longest without requests first
--- a/sumacpost/policy/quota_sync.py
+++ b/sumacpost/policy/quota_sync.py
@@ -15,23 +15,25 @@
 NAME_TTL_MS = 60_000.0  # period of use and time to live of a name in the counter
 # A total that is wrong by more than this fraction of the burst is corrected by a separate call.
 MAX_DRIFT_FRACTION = 0.5
-FULL_CALL_RATE = 0.4  # below this call rate, calls are left out at random
+# Call rates are numbers from MIN_CALL_RATE to 1, not calls per second. Below this rate, calls are
+# left out at random.
+FULL_CALL_RATE = 0.4
 INITIAL_CALL_RATE = 0.5
 MIN_CALL_RATE = 0.01
-CALL_RATE_DECREASE = 0.7  # factor applied for a late or missing reply
-CALL_RATE_INCREASE = 0.04  # added for a prompt reply
+CALL_RATE_DECREASE = 0.7  # factor applied to the call rate for a late or missing reply
+CALL_RATE_INCREASE = 0.04  # added to the call rate for a prompt reply
 MIN_RETURN_CALL_RATE = 0.9  # below this call rate, no units are returned to an empty balance
 LATE_REPLY_FRACTION = 0.8  # a reply slower than this fraction of the timeout shows congestion
 HASH_FACTOR = 2654435761  # Knuth's multiplicative hash; spreads the times of name changes
 
 
 class Grant(Enum):
-    """Why a request passes the quota, which decides where its units are still to be counted."""
+    """Why a request passes the quota; this decides where its units still have to be counted."""
 
-    BUCKET = auto()  # by the customer's bucket at this gateway
-    BEYOND_QUOTA = auto()  # by the plan, which permits requests beyond the quota
-    COUNTER = auto()  # by the shared counter, which has added its units, or may have
-    COUNTER_NOT_APPLIED = auto()  # by the last known balance, as the call was not applied
+    BUCKET = auto()  # without the counter; its units are taken from the bucket at this gateway
+    BEYOND_QUOTA = auto()  # the plan permits requests beyond the quota
+    COUNTER = auto()  # the shared counter has added its units, or may have added them
+    COUNTER_NOT_APPLIED = auto()  # by the last known balance; the counter has not added its units
 
 
 @dataclass(slots=True)
@@ -40,12 +42,13 @@
 
     Attributes:
         customer: the customer whose quota is reported.
-        reported_units: units of use in the call, with those of the request held for the reply.
+        reported_units: units of use in the call, with those of the request that waits for the
+            reply.
         correction: units added to correct the name's total.
-        request: the request held for the reply, if any.
+        request: the request that waits for the reply, if any.
         grant: after the reply, why the request passes the quota; None: it is rejected.
-        surplus: after the reply, the units that the name's total lacks, as the balance that it
-            gives is too high; negative: the total is too high; None: unknown.
+        total_shortfall: after the reply, the units that the name's total lacks, so that the balance
+            calculated from it is too high; negative: the total is too high; None: unknown.
     """
 
     customer: CustomerQuota
@@ -53,7 +56,7 @@
     correction: float
     request: PendingRequest | None
     grant: Grant | None = None
-    surplus: float | None = None
+    total_shortfall: float | None = None
 
 
 class CounterName(NamedTuple):
@@ -89,7 +92,7 @@
         return self._random.random() < probability
 
     def should_ask_counter(self, now: float, request: PendingRequest) -> bool:
-        """Return whether a request should be held while the counter is asked for its units."""
+        """Return whether a request should wait until the counter has been asked for its units."""
         if not self.enabled or not self._draw_call():
             return False
         settings = self._settings
@@ -102,7 +105,7 @@
     ) -> Actions:
         """Report use to the counter, or return unused units, in whole batches.
 
-        request: a request held for the reply, whose units are included in the report.
+        request: a request that waits for the reply; its units are included in the report.
         """
         report_batch = REPORT_BATCH_FRACTION * customer.plan.burst
         if not self.enabled or not report_batch:
@@ -122,7 +125,7 @@
         """Update quota and call rate from a reply; return its call, or None if it is unknown.
 
         pending: the numbers of requests without a final response. The caller sends or rejects the
-        request held for the reply, then calls report_after_reply.
+        request that waits for the reply, then calls report_after_reply.
         """
         calls = self.pending_calls.get(event.name)
         if not calls:
@@ -144,13 +147,13 @@
     def report_after_reply(self, now: float, call: CounterCall) -> Actions:
         """Return unused units to the counter after its reply, and correct the name's total."""
         customer = call.customer
-        if call.surplus is None:
+        if call.total_shortfall is None:
             return []
         actions = self.report_usage(now, customer) if customer.unreported_units <= 0 else []
-        if abs(call.surplus) > MAX_DRIFT_FRACTION * customer.plan.burst:
+        if abs(call.total_shortfall) > MAX_DRIFT_FRACTION * customer.plan.burst:
             # If two gateways correct a total at the same time, the later one undoes its correction.
-            reported_units = min(call.surplus, 0.0)
-            correction = max(call.surplus, 0.0)
+            reported_units = min(call.total_shortfall, 0.0)
+            correction = max(call.total_shortfall, 0.0)
             actions.append(self._call(now, CounterCall(customer, reported_units, correction, None)))
         return actions
 
@@ -179,8 +182,8 @@
         not_applied = outcome.never_ran or outcome is Outcome.RESET
         call.grant = Grant.COUNTER_NOT_APPLIED if not_applied else Grant.COUNTER
         if not_applied:
-            held_units = call.request.event.units if call.request is not None else 0.0
-            call.customer.unreported_units += call.reported_units - held_units
+            request_units = call.request.event.units if call.request is not None else 0.0
+            call.customer.unreported_units += call.reported_units - request_units
 
     def _apply_total(
         self, now: float, call: CounterCall, total: float, age_ms: float, is_waiting: bool
@@ -190,7 +193,7 @@
         reported_units = call.reported_units
         customer.refill(now)
         previous_total = total - reported_units - call.correction
-        call.surplus = (
+        call.total_shortfall = (
             customer.apply_counter_total(now, previous_total, reported_units, age_ms)
             - call.correction
         )
--- a/sumacpost/policy/retries.py
+++ b/sumacpost/policy/retries.py
@@ -34,7 +34,7 @@
         return reason
 
     def permits_rejection(self, request: PendingRequest) -> bool:
-        """Return whether the client may be told to retry; its retry may reach any backend."""
+        """Return whether the client may be advised to retry; its retry may reach any backend."""
         scope = request.request_class.deduplication_scope
         return request.is_repeatable or (
             request.has_idempotency_key and scope is DeduplicationScope.ALL
--- a/sumacpost/policy/return_queue.py
+++ b/sumacpost/policy/return_queue.py
@@ -3,7 +3,7 @@
 from collections import deque
 from math import sqrt
 
-# Bound on the wait: otherwise clients that retry at once make the queue grow without limit.
+# Bound on the wait: otherwise clients that retry immediately make the queue grow without limit.
 MAX_WAIT_MS = 10_000.0
 
 
--- a/sumacpost/policy/service_time.py
+++ b/sumacpost/policy/service_time.py
@@ -5,7 +5,7 @@
 
 BLOCK_SIZE = 30  # observations averaged in a block
 KEPT_BLOCKS = 8
-# Margin above a mean, in standard errors, with a standard deviation as large as the mean.
+# Margin above a mean, in standard errors; the standard deviation is assumed to equal the mean.
 MARGIN_DEVIATIONS = 1.5
 MAX_STEP = 4.0  # bound on an observation, as a multiple of the present estimate
 
--- a/sumacpost/policy/slow_start.py
+++ b/sumacpost/policy/slow_start.py
@@ -6,7 +6,7 @@
 from sumacpost.policy.backend import Backend
 from sumacpost.policy.endpoint_table import EndpointTable
 from sumacpost.policy.fleet_estimate import FleetEstimate
-from sumacpost.policy.slow_start_budget import gateway_share, window_units
+from sumacpost.policy.slow_start_budget import gateway_share, period_budget
 from sumacpost.policy.subsetting import UINT64_MASK, splitmix64
 
 # Safety factor on the capacity of a warm backend or a core: the one warming up may be slower.
@@ -94,8 +94,8 @@
             draw = splitmix64((splitmix64(number) + period) & UINT64_MASK)
             rounding = (draw >> 32) / (1 << 32)
             expected = self._expected_requests(capacity_fraction, gateways)
-            units = window_units(expected, gateways, rounding)
-            backend.slow_start_share = gateway_share(units, gateways, (rank + draw) % gateways)
+            budget = period_budget(expected, gateways, rounding)
+            backend.slow_start_share = gateway_share(budget, gateways, (rank + draw) % gateways)
         return backend.slow_start_share
 
     def _expected_requests(self, capacity_fraction: float, gateways: int) -> float:
--- a/sumacpost/policy/slow_start_budget.py
+++ b/sumacpost/policy/slow_start_budget.py
@@ -5,15 +5,15 @@
 never be due to the gateways that know of the backend's start, regardless of the load from others.
 It counts as theirs if they sent more than two thirds of the requests, so for each window
 
-    sent by all gateways that know of the start  <=  2/3 * bound(N)    N: at the start of the window
+    sent by all gateways that know of the start  <=  2/3 * bound(N)
 
-has to be true. This is so if each gateway stays within its share in every window, wherever that
-starts, and the shares add up to no more than this bound. `units` are assigned for periods of the
-window's length, in whole requests: each gateway gets units // gateways, and units % gateways of
-them, drawn again for each period, get one more. A window overlaps two periods and may contain the
-extra requests of both:
+has to be true, with N as of the start of the window. This is so if each gateway stays within its
+share in every window, wherever that starts, and the shares add up to no more than this bound. A
+`budget` of whole requests is assigned to each period of the window's length: each gateway gets
+budget // gateways requests, and budget % gateways of the gateways, drawn again for each period, get
+one more. A window overlaps two periods and may contain the extra requests of both:
 
-    sum of shares in any window  <=  units + units % gateways
+    sum of shares in any window  <=  budget + budget % gateways
 """
 
 from math import sqrt
@@ -38,7 +38,7 @@
     return tolerated
 
 
-def window_units(expected: float, gateways: int, rounding: float) -> int:
+def period_budget(expected: float, gateways: int, rounding: float) -> int:
     """Return the requests that all gateways together may send in a period.
 
     expected: N or less.
@@ -51,6 +51,6 @@
     return min(int(expected + rounding), equal_part + extra_part)
 
 
-def gateway_share(units: int, gateways: int, position: int) -> int:
+def gateway_share(budget: int, gateways: int, position: int) -> int:
     """Return the share of the gateway at this position, from 0, in the order of a period."""
-    return (units + position) // gateways
+    return (budget + position) // gateways
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -61,7 +61,9 @@
 
 
 @hedged_classes
-def test_hedged_request_goes_elsewhere_and_its_response_cancels_the_first(class_index: int) -> None:
+def test_hedged_request_uses_another_backend_and_its_response_cancels_the_first(
+    class_index: int,
+) -> None:
     g = gateway(**HEDGING)
     overdue = start(g, 1, class_index)
     second = hedge(g, overdue)
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -207,7 +207,7 @@
     assert customer.tokens == pytest.approx(7.5)
 
 
-def test_balance_above_the_burst_is_returned_as_surplus(
+def test_balance_above_the_burst_is_returned_as_the_shortfall_of_the_total(
     customer: CustomerQuota,
 ) -> None:
     # 16 - 4 + 16 is 12 above the burst
@@ -222,8 +222,8 @@
     """
     customer.shared_balance = 0.0
     customer.balance_observed_at = START_MS
-    surplus = customer.apply_counter_total(START_MS + 500, 0.0, 0.0, 100.0)
-    assert surplus == pytest.approx(16 + 0.8 - 4)
+    shortfall = customer.apply_counter_total(START_MS + 500, 0.0, 0.0, 100.0)
+    assert shortfall == pytest.approx(16 + 0.8 - 4)
     assert customer.shared_balance == pytest.approx(4.0)
 
 
--- a/tests/policy/test_quota_sync.py
+++ b/tests/policy/test_quota_sync.py
@@ -1,4 +1,4 @@
-"""Quotas shared through the counter: held requests, reports of use, names and the call rate."""
+"""Quotas shared through the counter: waiting requests, reports of use, names and the call rate."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def ask(g: Gateway, number: int, now: float = START_MS, **changes: Any) -> AddToCounter:
-    """Send a request that exceeds the share; return the counter call that it is held for."""
+    """Send a request that exceeds the share; return the counter call that it waits for."""
     (call,) = g.handle(now, request_arrived(number, gateway_spread=200, **changes))
     assert isinstance(call, AddToCounter)
     return call
@@ -153,7 +153,7 @@
 
 
 def test_request_that_could_not_wait_for_the_reply_is_decided_at_once() -> None:
-    """Guard against a request held past its deadline.
+    """Guard against a request that waits past its deadline.
 
     With 20 ms left, a client waited for a late counter reply.
     """
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -76,7 +76,7 @@
 def test_cold_backend_gets_less_than_twice_its_guaranteed_part() -> None:
     """Guard against overload by a single gateway with many requests, in any window of 3 s."""
     g = gateway(1, 2, 3)
-    for number in range(300):  # the gateway learns the capacity of the fleet
+    for number in range(300):  # the gateway estimates the service time of warm backends
         now = START_MS + number * 20
         send = only_action(Send, g.handle(now, request_arrived(number)))
         g.handle(now + 15, attempt_ended(number, send.backend, elapsed_ms=150))
@@ -113,7 +113,7 @@
 
 
 class ColdStart:
-    """Cold backends that all start at once, while every gateway gets too many requests."""
+    """Cold backends that all start at the same time, while every gateway gets too many requests."""
 
     def __init__(
         self,
@@ -262,7 +262,7 @@
 
 
 def before_a_cold_start(up: float) -> Gateway:
-    """Return a gateway that has learnt its backend's capacity, with a cold backend added."""
+    """Return a gateway that has observed the service time of its backend, with a cold one added."""
     g = gateway(1)
     for number in range(1000, 1100):
         now = START_MS + 100 * (number - 1000)
--- a/tests/policy/test_slow_start_property.py
+++ b/tests/policy/test_slow_start_property.py
@@ -15,8 +15,8 @@
 from sumacpost.policy.slow_start_budget import (
     NOTIFIED_FRACTION,
     gateway_share,
+    period_budget,
     tolerated_requests,
-    window_units,
 )
 from tests.support.fleet_simulation import FleetSimulation
 from tests.support.simulated_backend import Scenario
@@ -78,11 +78,11 @@
 def test_shares_of_two_periods_in_one_window_stay_within_the_bound(
     expected: float, gateways: int, roundings: tuple[float, float], shifts: tuple[int, int]
 ) -> None:
-    units = [window_units(expected, gateways, rounding) for rounding in roundings]
+    budgets = [period_budget(expected, gateways, rounding) for rounding in roundings]
     total = sum(
         max(
-            gateway_share(period_units, gateways, (rank + shift) % gateways)
-            for period_units, shift in zip(units, shifts, strict=True)
+            gateway_share(budget, gateways, (rank + shift) % gateways)
+            for budget, shift in zip(budgets, shifts, strict=True)
         )
         for rank in range(gateways)
     )
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -238,13 +238,14 @@
     g = gateway(*listed, gateways=640, index=9)
     assert len(g.endpoints.backends) == 400
     partition = Partition(640, 9, 4)
-    held = [backend for backend in listed if partition.contains(backend)]
+    own_backends = [backend for backend in listed if partition.contains(backend)]
     g.handle(
-        START_MS, EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(held[0])], partition_count=4)
+        START_MS,
+        EndpointListUpdate(UpdateKind.CHANGES, [Endpoint(own_backends[0])], partition_count=4),
     )
     ready = sorted(entry.backend for entry in g.endpoints.subset.ready)
-    assert sorted(g.endpoints.backends) == sorted(held) == ready
-    assert 60 <= len(held) <= 140
+    assert sorted(g.endpoints.backends) == sorted(own_backends) == ready
+    assert 60 <= len(own_backends) <= 140
     assert [type(action) for action in g.handle(START_MS, request_arrived(1))] == [Send]
 
 
