--- a/sumacpost/model/events.py
+++ b/sumacpost/model/events.py
@@ -78,7 +78,7 @@
     Attributes:
         kind: whether the entries are changes or the whole list.
         entries: the entries; if the list is partitioned, those of this gateway's partition and
-            a few deduplication peers from other partitions.
+            a few of other partitions for retries by idempotency key (deduplication peers).
         version: the version of the list after the update; versions of one discovery agent only
             grow.
         partition_count: how many partitions the whole list is divided into.
--- a/sumacpost/policy/fleet_estimate.py
+++ b/sumacpost/policy/fleet_estimate.py
@@ -10,7 +10,7 @@
 # Weight of one response in unit_ms, and smallest weight of one request in the long-term mean work.
 UNIT_WEIGHT = 0.01
 # Bound on the relative error of unit_ms that a response shows, so that latency under congestion is
-# not taken for the usual time of a unit.
+# not mistaken for the usual time of a unit.
 MAX_UNIT_STEP = 1.0
 INITIAL_UNITS_PER_OBJECTIVE = 10  # units assumed to fit in the latency objective at the start
 MIN_UNITS = 0.01  # lower bound on the units of a request in the estimate of its work
@@ -97,7 +97,7 @@
         inconclusive outcomes leave it unchanged, unless an overdue attempt was cancelled.
         """
         outcome = event.outcome
-        observed = event.elapsed_ms / attempt.outstanding_requests / attempt.work_ms
+        observed_inflation = event.elapsed_ms / attempt.outstanding_requests / attempt.work_ms
         fleet_inflation = self.inflation.current(now)
         class_inflation = backend.inflation_by_class[attempt.request_class]
         overdue = outcome is Outcome.CANCELLED and now > attempt.overdue_at
@@ -108,19 +108,21 @@
             backend.responded_at = now
         if outcome is Outcome.OK:
             self._observe_service_time(now, backend, event.elapsed_ms, attempt)
-            class_inflation.observe(now, observed, OBSERVATION_WEIGHT, fleet_inflation)
-            step = min(observed - 1, MAX_UNIT_STEP) * UNIT_WEIGHT
+            class_inflation.observe(now, observed_inflation, OBSERVATION_WEIGHT, fleet_inflation)
+            step = min(observed_inflation - 1, MAX_UNIT_STEP) * UNIT_WEIGHT
             self.unit_ms[attempt.request_class] *= 1 + step
         elif overdue or outcome not in INCONCLUSIVE_OUTCOMES:
             is_mild = overdue or connection_silent or outcome is Outcome.RESET
-            value = MILD_FAILURE_INFLATION if is_mild else max(FAILURE_INFLATION, observed)
+            value = (
+                MILD_FAILURE_INFLATION if is_mild else max(FAILURE_INFLATION, observed_inflation)
+            )
             concerns_one_class = overdue or outcome in CLASS_FAILURE_OUTCOMES
             for inflation in (
                 [class_inflation] if concerns_one_class else backend.inflation_by_class
             ):
                 inflation.observe(now, value, FAILURE_WEIGHT, fleet_inflation)
         if outcome in FLEET_OUTCOMES and not connection_silent:
-            value = FAILURE_INFLATION / 2 if outcome is Outcome.REJECTED else observed
+            value = FAILURE_INFLATION / 2 if outcome is Outcome.REJECTED else observed_inflation
             bounded = min(value, fleet_inflation * MAX_INFLATION_STEP + 1)
             self.inflation.observe(now, bounded, OBSERVATION_WEIGHT)
 
--- a/sumacpost/policy/quota.py
+++ b/sumacpost/policy/quota.py
@@ -119,8 +119,8 @@
     def adjust_share(self, now: float, over_quota: bool) -> None:
         """Adjust the share, at most once in SHARE_INTERVAL_MS.
 
-        The share of a customer over its quota falls towards the even share; an exhausted one grows
-        while the shared balance is ample.
+        The share of a customer over its quota falls towards the even share; an exhausted share
+        grows while the shared balance is ample.
         """
         if now - self.adjusted_at < SHARE_INTERVAL_MS:
             return
--- a/sumacpost/policy/return_queue.py
+++ b/sumacpost/policy/return_queue.py
@@ -8,7 +8,7 @@
 
 
 class ReturnQueue:
-    """The return queue of one customer's rejected clients, and the units its requests use."""
+    """The return times of one customer's rejected clients, and the units its requests use."""
 
     __slots__ = ("appointments", "end_of_queue_time", "requests", "squared_unit_sum", "unit_sum")
 
--- a/sumacpost/policy/shutdown.py
+++ b/sumacpost/policy/shutdown.py
@@ -36,9 +36,9 @@
     Attributes:
         kill_after_ms: the earliest time of SIGKILL.
         min_accept_ms: connections are accepted at least until then.
-        max_accept_ms: connections are accepted until then while there are new ones. While some wait
-            that can't be accepted, as the connection limit is reached, the listener is not
-            closed before respond_within_ms: that would reset them.
+        max_accept_ms: connections are accepted until then while there are new ones. While
+            connections wait that can't be accepted, as the connection limit is reached, the
+            listener is not closed before respond_within_ms: closing it would reset them.
         quiet_ms: a duration: after this long without a new connection no more are expected, and an
             idle connection is closed.
         request_timeout_ms: a duration after which an incomplete request is rejected.
--- a/sumacpost/policy/subsetting.py
+++ b/sumacpost/policy/subsetting.py
@@ -88,11 +88,12 @@
 class Subset:
     """The ready backends of its partition that a gateway sends to.
 
-    Consistent hashing with bounded loads: each backend, in the order of hashes, takes gateways
-    along its own probe sequence and skips full ones; then gateways with fewer backends than the
-    mean take further ones. Loads are even, and few pairs change when a backend is added or removed.
-    The result doesn't depend on the history of the list. The gateways of a large fleet form shards
-    that compute their subsets separately; each shard provides a part of a backend's gateways.
+    Consistent hashing with bounded loads: each backend, in the order of hashes, is assigned to
+    gateways along its own probe sequence, skipping full ones; then gateways with fewer backends
+    than the mean get further ones. Loads are even, and few pairs change when a backend is added or
+    removed. The result doesn't depend on the history of the list. The gateways of a large fleet
+    form shards that compute their subsets separately; each shard provides a part of a backend's
+    gateways.
     """
 
     def __init__(self, gateways: int, index: int, partition_count: int = 1) -> None:
--- a/sumacpost/simulator/records.py
+++ b/sumacpost/simulator/records.py
@@ -1,4 +1,4 @@
-"""The binary layout of the simulator's protocol; codes and fields have the protocol's names.
+"""The binary layout of the simulator's protocol; records have the protocol's names.
 
 All numbers are little-endian, without padding between them. A frame consists of a header and
 records. A record consists of a header, with its code and the length of its fields, and the fields.
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -110,7 +110,7 @@
     hedged = 0
 
     def handle(now: float, event: Event) -> int:
-        """Pass on the event, keep the timers, and return the number of attempts started."""
+        """Pass on the event, record the timers, and return the number of attempts started."""
         actions = g.handle(now, event)
         timers.extend(
             (now + timer.after_ms, timer.label) for timer in actions_of_type(actions, SetTimer)
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -20,7 +20,10 @@
 
 
 def test_one_reset_inflates_one_class_of_its_backend_a_little() -> None:
-    """Guard against a choice at random after malformed responses, which all backends send alike."""
+    """Guard against malformed responses that outweigh all other observations.
+
+    All backends send them alike, so the choice of a backend would be left to chance.
+    """
     g = gateway(1, 2, plans=(NO_QUOTA,))
     send = only_action(Send, g.handle(START_MS + 1, request_arrived(1, request_class=0)))
     g.handle(START_MS + 100, attempt_ended(1, send.backend, Outcome.RESET))
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -68,7 +68,7 @@
     )
 
 
-def test_requests_beyond_the_bucket_are_rejected_at_once_with_a_return_time() -> None:
+def test_requests_beyond_the_bucket_are_rejected_immediately_with_a_return_time() -> None:
     g = gateway(*range(1, 30), plans=(PLAN,))
     actions = [
         action for n in range(20) for action in g.handle(START_MS, request_arrived(n, units=1.0))
--- a/tests/policy/test_quota_sync.py
+++ b/tests/policy/test_quota_sync.py
@@ -101,7 +101,7 @@
     assert returned == pytest.approx(-call.amount, abs=REPORT_BATCH)
 
 
-def test_requests_after_an_empty_balance_are_rejected_at_once() -> None:
+def test_requests_after_an_empty_balance_are_rejected_immediately() -> None:
     g, call = gateway_with_a_waiting_request()
     reply(g, call, total_of_an_empty_balance(g, call) + call.amount)
     first_actions = [
@@ -152,7 +152,7 @@
     assert not actions_of_type(actions, Reject)
 
 
-def test_request_that_could_not_wait_for_the_reply_is_decided_at_once() -> None:
+def test_request_that_could_not_wait_for_the_reply_is_decided_immediately() -> None:
     """Guard against a request that waits past its deadline.
 
     With 20 ms left, a client waited for a late counter reply.
--- a/tests/policy/test_return_queue.py
+++ b/tests/policy/test_return_queue.py
@@ -100,7 +100,7 @@
     assert queue_length(customer) == 1
 
 
-def test_queue_of_clients_that_return_at_once_is_bounded() -> None:
+def test_queue_of_clients_that_retry_immediately_is_bounded() -> None:
     customer = CustomerQuota(Plan(rate=1, burst=4), 1, START_MS)
     waits = [customer.schedule_return(START_MS + n, 1.0, 0.0) for n in range(5000)]
     assert max(waits) <= 10_000
