--- a/fleetlab/soak/evidence.py
+++ b/fleetlab/soak/evidence.py
@@ -70,8 +70,9 @@
     ) -> bool:
         """Return whether a value is within its bound, and record the ratio of the two.
 
-        interval: start and end of the measurement. The time for which the processes waited in its
-        last second is added to the bound; earlier waits did not delay the event.
+        interval: start and end of the measurement. If the value exceeds the bound, the time for
+        which the ingress and the soak waited in the last second of the interval is added to the
+        bound; earlier waits did not delay the event.
         """
         if value_s > bound_s:
             start, end = interval
--- a/fleetlab/soak/runs.py
+++ b/fleetlab/soak/runs.py
@@ -58,11 +58,11 @@
 
     ingresses: the number of ingresses, or 0 to draw it from the seed.
 
-    Seeds below FIRST_SLOW_START_SEED get all faults except system faults. The thousand seeds from
-    FIRST_SYSTEM_FAULT_SEED on include system faults; so do the thousand from
-    FIRST_CLIENTS_LEAVE_SEED on, whose clients leave before the processes are terminated, and all
-    seeds from FIRST_COUNTER_PATH_SEED on, whose path to the counter fails at times. The other
-    ranges stress one rule each.
+    Seeds below FIRST_SLOW_START_SEED get the faults of `make_plan`: all kinds except system faults,
+    counter faults and late resets by backends. The thousand seeds from FIRST_SYSTEM_FAULT_SEED on
+    include system faults as well; so do the thousand from FIRST_CLIENTS_LEAVE_SEED on, whose
+    clients leave before the processes are terminated, and all seeds from FIRST_COUNTER_PATH_SEED
+    on, whose path to the counter fails at times. The other ranges stress one rule each.
     """
     if seed < FIRST_SLOW_START_SEED:
         return make_plan(seed, ingresses or draw_ingresses(seed), seconds)
--- a/fleetlab/synthetic_ingress.py
+++ b/fleetlab/synthetic_ingress.py
@@ -116,7 +116,7 @@
         self._handle(update)
 
     def pop_max_notification_ms(self) -> float:
-        """Return and reset the longest time from a backend's start to its notification, in ms."""
+        """Return and reset the longest time from a backend's start to an update about it, in ms."""
         longest_ms = self._max_notification_ms
         self._max_notification_ms = 0.0
         return longest_ms
