--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -61,7 +61,9 @@
 
 
 @hedged_classes
-def test_hedged_request_goes_elsewhere_and_its_response_cancels_the_first(class_index: int) -> None:
+def test_hedged_request_uses_another_backend_and_its_response_cancels_the_first(
+    class_index: int,
+) -> None:
     g = gateway(**HEDGING)
     overdue = start(g, 1, class_index)
     second = hedge(g, overdue)
@@ -108,7 +110,7 @@
     hedged = 0
 
     def handle(now: float, event: Event) -> int:
-        """Pass on the event, keep the timers, and return the number of attempts started."""
+        """Pass on the event, record the timers, and return the number of attempts started."""
         actions = g.handle(now, event)
         timers.extend(
             (now + timer.after_ms, timer.label) for timer in actions_of_type(actions, SetTimer)
--- a/tests/policy/test_quota_sync.py
+++ b/tests/policy/test_quota_sync.py
@@ -1,4 +1,4 @@
-"""Quotas shared through the counter: held requests, reports of use, names and the call rate."""
+"""Quotas shared through the counter: waiting requests, reports of use, names and the call rate."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def ask(g: Gateway, number: int, now: float = START_MS, **changes: Any) -> AddToCounter:
-    """Send a request that exceeds the share; return the counter call that it is held for."""
+    """Send a request that exceeds the share; return the counter call that it waits for."""
     (call,) = g.handle(now, request_arrived(number, gateway_spread=200, **changes))
     assert isinstance(call, AddToCounter)
     return call
@@ -101,7 +101,7 @@
     assert returned == pytest.approx(-call.amount, abs=REPORT_BATCH)
 
 
-def test_requests_after_an_empty_balance_are_rejected_at_once() -> None:
+def test_requests_after_an_empty_balance_are_rejected_immediately() -> None:
     g, call = gateway_with_a_waiting_request()
     reply(g, call, total_of_an_empty_balance(g, call) + call.amount)
     first_actions = [
@@ -152,8 +152,8 @@
     assert not actions_of_type(actions, Reject)
 
 
-def test_request_that_could_not_wait_for_the_reply_is_decided_at_once() -> None:
-    """Guard against a request held past its deadline.
+def test_request_that_could_not_wait_for_the_reply_is_decided_immediately() -> None:
+    """Guard against a request that waits past its deadline.
 
     With 20 ms left, a client waited for a late counter reply.
     """
