--- a/sumacpost/policy/backend.py
+++ b/sumacpost/policy/backend.py
@@ -79,8 +79,8 @@
         """Remove an attempt that has ended and return it, or None if it is unknown."""
         attempt = self.in_flight.pop((request, number), None)
         if attempt is not None:
-            left = self.outstanding_work_ms - attempt.work_ms
-            self.outstanding_work_ms = max(0.0, left) if self.in_flight else 0.0
+            remaining_ms = self.outstanding_work_ms - attempt.work_ms
+            self.outstanding_work_ms = max(0.0, remaining_ms) if self.in_flight else 0.0
         return attempt
 
     def capacity_fraction(self, now: float, settings: Settings) -> float:
--- a/sumacpost/policy/load_balancing.py
+++ b/sumacpost/policy/load_balancing.py
@@ -139,8 +139,8 @@
         if threshold < inf and not request.attempted_backends:
             excess = max(excess, (wait_ms + request.work_ms - mean_work_ms) / max(1.0, left_ms))
         silence_ms = now - self._estimate.inflation.observed_at
-        unused = not best.in_flight and request.work_ms < left_ms
-        if excess > 1 and unused and silence_ms > PROBE_AFTER_SILENCE_MS:
+        can_probe = not best.in_flight and request.work_ms < left_ms
+        if excess > 1 and can_probe and silence_ms > PROBE_AFTER_SILENCE_MS:
             # With all requests rejected, no response would show the end of the overload.
             return True
         admission_probability: float = excess**-SHEDDING_EXPONENT
--- a/sumacpost/policy/retries.py
+++ b/sumacpost/policy/retries.py
@@ -44,9 +44,9 @@
         """Return the timer for the latest attempt, if a hedged attempt could follow it then."""
         settings = self._settings
         idempotency = request.request_class.idempotency
-        repeatable = settings.hedging and idempotency is not Idempotency.NOT_IDEMPOTENT
+        can_be_hedged = settings.hedging and idempotency is not Idempotency.NOT_IDEMPOTENT
         attempt_left = len(request.attempted_backends) < settings.max_attempts
-        if not repeatable or not attempt_left or now + overdue_after_ms >= request.deadline:
+        if not can_be_hedged or not attempt_left or now + overdue_after_ms >= request.deadline:
             return []
         label = request.event.request * settings.max_attempts + request.last_attempt
         return [SetTimer(overdue_after_ms, label)]
--- a/sumacpost/policy/service_time.py
+++ b/sumacpost/policy/service_time.py
@@ -7,7 +7,7 @@
 KEPT_BLOCKS = 8
 # Margin above a mean, in standard errors; the standard deviation is assumed to equal the mean.
 MARGIN_DEVIATIONS = 1.5
-MAX_STEP = 4.0  # bound on an observation, as a multiple of the present estimate
+MAX_OBSERVATION_RATIO = 4.0  # bound on an observation, as a multiple of the present estimate
 
 
 class ServiceTime:
@@ -40,7 +40,7 @@
     def observe(self, elapsed_ms: float, requests: float) -> None:
         """Record the time of a request, and its work in requests of mean work."""
         self._count += 1
-        self._elapsed_ms += min(elapsed_ms, MAX_STEP * self._mean_ms * requests)
+        self._elapsed_ms += min(elapsed_ms, MAX_OBSERVATION_RATIO * self._mean_ms * requests)
         self._requests += requests
         if self._count == BLOCK_SIZE:
             self._blocks.append(self._elapsed_ms / self._requests)
@@ -50,7 +50,8 @@
             self._elapsed_ms = 0.0
             self._requests = 0.0
         elif not self._blocks:
-            known_requests = self._requests + self._requests / self._count
+            # The initial value counts as one more request, of the mean work in this block.
+            total_requests = self._requests + self._requests / self._count
             initial_ms = self._initial_ms * self._requests / self._count
-            self._mean_ms = (self._elapsed_ms + initial_ms) / known_requests
+            self._mean_ms = (self._elapsed_ms + initial_ms) / total_requests
             self._observations = self._count + 1
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -151,9 +151,9 @@
 @pytest.mark.parametrize(
     "outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT]
 )
-@pytest.mark.parametrize("left_first", [True, False])
+@pytest.mark.parametrize("cancelled_first", [True, False])
 def test_client_that_leaves_as_an_attempt_ends_gets_no_further_attempt(
-    outcome: Outcome, left_first: bool
+    outcome: Outcome, cancelled_first: bool
 ) -> None:
     """Guard against an attempt for a client that has disconnected.
 
@@ -162,7 +162,7 @@
     g = gateway(1, 2, 3, hedging=True)
     overdue = start(g, 1, IDEMPOTENT)
     end = attempt_ended(1, overdue.first.backend, outcome, elapsed_ms=5.0)
-    if left_first:
+    if cancelled_first:
         assert not actions_of_type(g.handle(START_MS + 5, RequestCancelled(1)), Send)
         assert not actions_of_type(g.handle(START_MS + 5, replace(end, concluded=True)), Send)
     else:
--- a/tests/policy/test_quota_sync.py
+++ b/tests/policy/test_quota_sync.py
@@ -35,13 +35,17 @@
 BACKENDS = range(1, 30)
 REPORT_BATCH = 0.08 * PLAN.burst
 # One gateway of 200, whose share of the quota is too small for one request.
-THIN_SHARE: dict[str, Any] = {
+SMALL_SHARE: dict[str, Any] = {
     "plans": (PLAN,),
     "counter": True,
     "counter_timeout_ms": 30.0,
     "gateways": 200,
 }
-COUNTED: dict[str, Any] = {"counter": True, "counter_timeout_ms": 50.0, "plans": (Plan(1, 10),)}
+WITH_COUNTER: dict[str, Any] = {
+    "counter": True,
+    "counter_timeout_ms": 50.0,
+    "plans": (Plan(1, 10),),
+}
 
 
 def ask(g: Gateway, number: int, now: float = START_MS, **changes: Any) -> AddToCounter:
@@ -52,7 +56,7 @@
 
 
 def gateway_with_a_waiting_request() -> tuple[Gateway, AddToCounter]:
-    g = gateway(*BACKENDS, **THIN_SHARE)
+    g = gateway(*BACKENDS, **SMALL_SHARE)
     return g, ask(g, 1, units=4.0)
 
 
@@ -136,7 +140,7 @@
 
     At 40 gateways such a request took two calls: one for its units and one to return them.
     """
-    g = gateway(*BACKENDS, **THIN_SHARE)
+    g = gateway(*BACKENDS, **SMALL_SHARE)
     overload_backends(g)
     (rejection,) = g.handle(START_MS, request_arrived(1, gateway_spread=200))
     assert isinstance(rejection, Reject)
@@ -157,7 +161,7 @@
 
     With 20 ms left, a client waited for a late counter reply.
     """
-    g = gateway(**THIN_SHARE)
+    g = gateway(**SMALL_SHARE)
     (decision,) = g.handle(
         START_MS, request_arrived(1, gateway_spread=200, units=4.0, time_left_ms=20.0)
     )
@@ -194,7 +198,7 @@
 def test_use_is_reported_again_if_its_call_was_not_applied(
     outcome: Outcome, reported_again: bool
 ) -> None:
-    g = gateway(**COUNTED)
+    g = gateway(**WITH_COUNTER)
     g.quota_sync.counter_call_rate = 1.0
     calls: list[AddToCounter] = []
     number = 0
@@ -210,7 +214,7 @@
 
 
 def test_calls_lost_with_one_connection_are_one_sign_of_congestion() -> None:
-    g = gateway(**COUNTED)
+    g = gateway(**WITH_COUNTER)
     g.quota_sync.counter_call_rate = 1.0
     names = []
     for number in range(40):
@@ -227,7 +231,7 @@
     used = 0.0
     reported = 0.0
     for index in range(200):
-        g = gateway(seed=index, **{**THIN_SHARE, "index": index})
+        g = gateway(seed=index, **{**SMALL_SHARE, "index": index})
         used += 0.5
         actions = g.handle(START_MS, request_arrived(1, gateway_spread=200, units=0.5))
         reported += sum(call.amount for call in actions_of_type(actions, AddToCounter))
@@ -260,7 +264,7 @@
 
 
 def test_replies_for_the_previous_name_and_without_a_call_are_ignored() -> None:
-    g = gateway(*BACKENDS, **THIN_SHARE)
+    g = gateway(*BACKENDS, **SMALL_SHARE)
     age_ms = g.quota_sync.current_name(START_MS, CustomerQuota(PLAN, 200, START_MS, 9)).age_ms
     name_change = START_MS + 60_000 - age_ms
     call = ask(g, 2, name_change - 1, units=4.0)
@@ -276,7 +280,7 @@
     The later correction is undone, and undoing it is not corrected again.
     """
     total = 0.0
-    gateways = [gateway(seed=n, **{**THIN_SHARE, "index": n}) for n in range(5)]
+    gateways = [gateway(seed=n, **{**SMALL_SHARE, "index": n}) for n in range(5)]
     waiting = [(g, ask(g, 1, units=4.0)) for g in gateways]
     calls = 0
     while waiting:
@@ -295,7 +299,7 @@
 
 
 def test_counter_that_times_out_is_called_less_often_until_it_recovers() -> None:
-    g = gateway(*range(1, 300), **THIN_SHARE)
+    g = gateway(*range(1, 300), **SMALL_SHARE)
 
     def count_calls(numbers: range, outcome: Outcome, **changes: Any) -> int:
         """Count the calls for these requests.
@@ -325,7 +329,7 @@
 
 
 def test_quota_sync_sets_no_timer() -> None:
-    g = gateway(*BACKENDS, **THIN_SHARE)
+    g = gateway(*BACKENDS, **SMALL_SHARE)
     for n in range(50):
         assert not actions_of_type(
             g.handle(START_MS + n, request_arrived(n, customer=n, gateway_spread=200)), SetTimer
