--- a/sumacpost/discovery/watch.py
+++ b/sumacpost/discovery/watch.py
@@ -49,13 +49,13 @@
 MIN_TRANSFER_BYTES_PER_S = 256 * 1024
 # Bytes read in one iteration of the event loop: about thirty entries, at most 1 ms of work.
 READ_BYTES = 4 * 1024
-UPDATE_BATCH_ENTRIES = 64  # passed to the listener in one iteration of the event loop: 1 ms of work
+UPDATE_BATCH_ENTRIES = 64  # passed to the callback in one iteration of the event loop: 1 ms of work
 
-UpdateListener = Callable[[EndpointListUpdate, AddressByBackend], None]
+UpdateCallback = Callable[[EndpointListUpdate, AddressByBackend], None]
 
 
 class DiscoveryWatch:
-    """Polls the discovery agent and passes each change of the endpoint list to a listener.
+    """Polls the discovery agent and passes each change of the endpoint list to a callback.
 
     While the agent is unavailable, or sends unusable responses, the last list remains in effect.
     """
@@ -65,7 +65,7 @@
         address: Address,
         reader: EndpointListReader,
         version: int,
-        on_update: UpdateListener,
+        on_update: UpdateCallback,
         drain_grace_s: float = inf,
         start_times: StartTimeConverter | None = None,
     ) -> None:
@@ -183,15 +183,15 @@
 
     async def _apply(self, endpoint_list: EndpointList) -> None:
         update = endpoint_list.update
-        # If the listener raises an exception, the full list is polled next.
+        # If the callback raises an exception, the full list is polled next.
         self._version = None
         if update.entries or update.kind is UpdateKind.FULL:
-            await self._notify_listener(endpoint_list)
+            await self._call_on_update(endpoint_list)
         self._version = update.version
         self._needs_full_list = self._reader.needs_repartitioning
 
-    async def _notify_listener(self, endpoint_list: EndpointList) -> None:
-        """Call the listener with the list, preceded by batches of changes if the list is long.
+    async def _call_on_update(self, endpoint_list: EndpointList) -> None:
+        """Call the callback with the list, preceded by batches of changes if the list is long.
 
         Little is left to do for the last call, so that no call blocks the event loop for long.
         """
--- a/sumacpost/model/events.py
+++ b/sumacpost/model/events.py
@@ -23,7 +23,7 @@
     CONNECT_FAILED = 5  # no connection could be established in time
     RESET = 6  # the connection was lost, or the response was invalid
     CANCELLED = 7  # the gateway cancelled it
-    SKIPPED = 8  # not sent: the request has ended, or the attempt was no longer permitted
+    SKIPPED = 8  # not sent: the request is concluded, or the attempt was no longer permitted
 
     @property
     def never_ran(self) -> bool:
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -26,7 +26,7 @@
 
 
 class ScriptedWatch:
-    """A running watch, its agent, and the updates that the watch has passed to its listener."""
+    """A running watch, its agent, and the updates that the watch has passed to its callback."""
 
     def __init__(self, script: Script, gateways: int = 1) -> None:
         self.agent = Peer(script)
--- a/tests/server/test_connection_limits.py
+++ b/tests/server/test_connection_limits.py
@@ -87,10 +87,11 @@
 
 
 def test_idle_connections_use_only_part_of_the_capacity() -> None:
-    """Idle connections of clients that had sent one request once used up the whole capacity.
+    """Idle connections must not use up the whole capacity.
 
-    With 80 descriptors the limit is 16 client connections, of which four may be idle. A client that
-    keeps sending requests stays connected, as its connection is never the longest idle.
+    Without the limit on them, clients that had sent a single request used it up. With 80
+    descriptors the limit is 16 client connections, of which four may be idle. A client that keeps
+    sending requests stays connected, as its connection is never the longest idle.
     """
 
     async def test() -> None:
--- a/tests/server/test_pipelining.py
+++ b/tests/server/test_pipelining.py
@@ -15,7 +15,7 @@
 
 
 async def fill_pipeline(ingress: RunningIngress) -> tuple[Client, ClientConnection]:
-    """Open a connection and send as many requests on it as may be pending at once.
+    """Open a connection and send as many requests on it as may be pending together.
 
     Return the client's and the ingress's end of the connection.
     """
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -201,10 +201,10 @@
 
 def test_stop_during_startup_opens_no_listener(monkeypatch: pytest.MonkeyPatch) -> None:
     """`stop` is set during the first attempt to connect to the counter."""
-    attempts: list[asyncio.Event] = []
+    connect_events: list[asyncio.Event] = []
 
     async def hang(counter: CounterClient, first_connect_attempted: asyncio.Event) -> None:
-        attempts.append(first_connect_attempted)
+        connect_events.append(first_connect_attempted)
         await asyncio.Event().wait()
 
     monkeypatch.setattr(CounterClient, "run", hang)
@@ -216,9 +216,9 @@
         stop = asyncio.Event()
         serving: list[Service] = []
         task = asyncio.create_task(serve(config, stop, serving.append))
-        await until(lambda: bool(attempts))
+        await until(lambda: bool(connect_events))
         stop.set()
-        attempts[0].set()
+        connect_events[0].set()
         await task
         assert not serving
 
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -1,4 +1,4 @@
-"""The outcome of an attempt over loopback, for every row of the protocol's table."""
+"""The outcome of an attempt over loopback, for each case that the protocol distinguishes."""
 
 from __future__ import annotations
 
