--- a/sumacpost/policy/retries.py
+++ b/sumacpost/policy/retries.py
@@ -34,7 +34,7 @@
         return reason
 
     def permits_rejection(self, request: PendingRequest) -> bool:
-        """Return whether the client may be told to retry; its retry may reach any backend."""
+        """Return whether the client may be advised to retry; its retry may reach any backend."""
         scope = request.request_class.deduplication_scope
         return request.is_repeatable or (
             request.has_idempotency_key and scope is DeduplicationScope.ALL
@@ -44,9 +44,9 @@
         """Return the timer for the latest attempt, if a hedged attempt could follow it then."""
         settings = self._settings
         idempotency = request.request_class.idempotency
-        repeatable = settings.hedging and idempotency is not Idempotency.NOT_IDEMPOTENT
+        can_be_hedged = settings.hedging and idempotency is not Idempotency.NOT_IDEMPOTENT
         attempt_left = len(request.attempted_backends) < settings.max_attempts
-        if not repeatable or not attempt_left or now + overdue_after_ms >= request.deadline:
+        if not can_be_hedged or not attempt_left or now + overdue_after_ms >= request.deadline:
             return []
         label = request.event.request * settings.max_attempts + request.last_attempt
         return [SetTimer(overdue_after_ms, label)]
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -61,7 +61,9 @@
 
 
 @hedged_classes
-def test_hedged_request_goes_elsewhere_and_its_response_cancels_the_first(class_index: int) -> None:
+def test_hedged_request_uses_another_backend_and_its_response_cancels_the_first(
+    class_index: int,
+) -> None:
     g = gateway(**HEDGING)
     overdue = start(g, 1, class_index)
     second = hedge(g, overdue)
@@ -108,7 +110,7 @@
     hedged = 0
 
     def handle(now: float, event: Event) -> int:
-        """Pass on the event, keep the timers, and return the number of attempts started."""
+        """Pass on the event, record the timers, and return the number of attempts started."""
         actions = g.handle(now, event)
         timers.extend(
             (now + timer.after_ms, timer.label) for timer in actions_of_type(actions, SetTimer)
@@ -149,9 +151,9 @@
 @pytest.mark.parametrize(
     "outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT]
 )
-@pytest.mark.parametrize("left_first", [True, False])
+@pytest.mark.parametrize("cancelled_first", [True, False])
 def test_client_that_leaves_as_an_attempt_ends_gets_no_further_attempt(
-    outcome: Outcome, left_first: bool
+    outcome: Outcome, cancelled_first: bool
 ) -> None:
     """Guard against an attempt for a client that has disconnected.
 
@@ -160,7 +162,7 @@
     g = gateway(1, 2, 3, hedging=True)
     overdue = start(g, 1, IDEMPOTENT)
     end = attempt_ended(1, overdue.first.backend, outcome, elapsed_ms=5.0)
-    if left_first:
+    if cancelled_first:
         assert not actions_of_type(g.handle(START_MS + 5, RequestCancelled(1)), Send)
         assert not actions_of_type(g.handle(START_MS + 5, replace(end, concluded=True)), Send)
     else:
--- a/tests/server/test_pipelining.py
+++ b/tests/server/test_pipelining.py
@@ -15,7 +15,7 @@
 
 
 async def fill_pipeline(ingress: RunningIngress) -> tuple[Client, ClientConnection]:
-    """Open a connection and send as many requests on it as may be pending at once.
+    """Open a connection and send as many requests on it as may be pending together.
 
     Return the client's and the ingress's end of the connection.
     """
@@ -59,7 +59,7 @@
             await until(lambda: connection._buffered_bytes == len(b"".join(buffered_requests)))
             client.disconnect(how)
             await until(
-                lambda: not ingress.server.connections.open and not ingress.ingress._pending
+                lambda: not ingress.server.connections.open and not ingress.instance._pending
             )
             await until(
                 lambda: sum(b.connections_closed for b in ingress.backends) == MAX_PIPELINED
