--- a/sumacpost/ingress.py
+++ b/sumacpost/ingress.py
@@ -33,9 +33,9 @@
     SetTimer,
     TimerFired,
 )
-from sumacpost.pending_request import Headers, ProxiedRequest, ResponseChannel
 from sumacpost.policy.gateway import Gateway
 from sumacpost.policy.shutdown import ShutdownSchedule, shutdown_schedule
+from sumacpost.proxied_request import Headers, ProxiedRequest, ResponseChannel
 from sumacpost.request_recorder import RequestRecorder
 from sumacpost.response_headers import forwarded_headers, retry_after_header
 from sumacpost.server.request import Request
--- a/sumacpost/request_recorder.py
+++ b/sumacpost/request_recorder.py
@@ -5,7 +5,7 @@
 from sumacpost.clock import Clock
 from sumacpost.diagnostics.event_recorder import EventKind, EventRecorder
 from sumacpost.model import DenialReason, Outcome, SendReason
-from sumacpost.pending_request import ProxiedRequest
+from sumacpost.proxied_request import ProxiedRequest
 from sumacpost.upstream.attempt import Attempt
 
 
--- a/sumacpost/response_headers.py
+++ b/sumacpost/response_headers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sumacpost.http1 import Response
-from sumacpost.pending_request import Headers
+from sumacpost.proxied_request import Headers
 
 FORWARDED_RESPONSE_HEADERS = (b"content-type", b"content-encoding")
 
--- a/sumacpost/server/response.py
+++ b/sumacpost/server/response.py
@@ -4,7 +4,7 @@
 
 from http import HTTPStatus
 
-from sumacpost.pending_request import Headers, ProxiedRequest
+from sumacpost.proxied_request import Headers, ProxiedRequest
 from sumacpost.server.connection_protocols import ResponseOwner
 
 _REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
