--- a/sumacpost/policy/return_queue.py
+++ b/sumacpost/policy/return_queue.py
@@ -3,12 +3,12 @@
 from collections import deque
 from math import sqrt
 
-# Bound on the wait: otherwise clients that retry at once make the queue grow without limit.
+# Bound on the wait: otherwise clients that retry immediately make the queue grow without limit.
 MAX_WAIT_MS = 10_000.0
 
 
 class ReturnQueue:
-    """The return queue of one customer's rejected clients, and the units its requests use."""
+    """The return times of one customer's rejected clients, and the units its requests use."""
 
     __slots__ = ("appointments", "end_of_queue_time", "requests", "squared_unit_sum", "unit_sum")
 
