--- a/fleetlab/discovery_server.py
+++ b/fleetlab/discovery_server.py
@@ -140,8 +140,8 @@
     async def _wait_for_change(self, query: str) -> int | None:
         """Hold a poll for changes until the list changes or the hold time has elapsed.
 
-        A poll that knows another version than the current one, or asks for the full list, is not
-        held. Return the version that the poll knows; None if it asks for the full list.
+        A poll with another version than the current one, or without a version, is not held. Return
+        the version in the poll; None without one, which asks for the full list.
         """
         parameters = parse_qs(query)
         if "from" not in parameters:
--- a/fleetlab/interrupts.py
+++ b/fleetlab/interrupts.py
@@ -31,7 +31,7 @@
 
     Signals are handled by the interpreter and not by the event loop, for two reasons. A loop
     handles a signal in its next iteration, and there is none once the work has ended. The handlers
-    of uvloop remain installed when the loop is closed, and swallow all later signals.
+    of uvloop remain installed when the loop is closed, and later signals then have no effect.
     """
     caught_signals: list[int] = []
 
--- a/fleetlab/json_lines.py
+++ b/fleetlab/json_lines.py
@@ -15,7 +15,7 @@
     """Append a value as one line, and return when it is on the disk.
 
     An incomplete last line, left by a killed process, is removed first. Raise OSError if the line
-    can't be written; all complete lines are kept and no part of the new one.
+    cannot be written; all complete lines are kept and no part of the new one.
     """
     data = msgspec.json.encode(value) + NEWLINE
     descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o666)
--- a/fleetlab/pairs.py
+++ b/fleetlab/pairs.py
@@ -109,7 +109,7 @@
 class PairFigures(msgspec.Struct):
     """The figures of one scheme at one fleet size.
 
-    They count pairs, users (the gateways that have a given backend in their subset) and kept
+    The figures count pairs, users (the gateways that have a given backend in their subset) and kept
     backends (those in the subset of a given gateway). All but new_pairs_mean and new_pairs_most
     describe the fleet before any backend is replaced.
     """
--- a/fleetlab/plan.py
+++ b/fleetlab/plan.py
@@ -59,7 +59,7 @@
     "counter": (25, 50, 100, 200, 400),
 }
 
-# Largest allowed point on each axis, so that a typing error doesn't exhaust the machine.
+# Largest allowed point on each axis, so that a typing error does not exhaust the machine.
 MAX_POINTS: dict[str, int] = {
     "backends": 200_000,
     "ingresses": 4_000,
--- a/fleetlab/process_stats.py
+++ b/fleetlab/process_stats.py
@@ -45,8 +45,8 @@
 def check_memory(pids: Iterable[int], estimated_mb: float = 0.0) -> None:
     """Raise MemoryLimitError if a run uses too much memory, or would with a further `estimated_mb`.
 
-    Memory is counted for this process and the given ones. The limits: they use at most half of the
-    machine's memory, and at least an eighth of it remains available.
+    Memory is counted for this process and the given ones. They may use at most half of the
+    machine's memory, and at least an eighth of it has to remain available.
     """
     used_mb = estimated_mb
     for pid in (os.getpid(), *pids):
--- a/fleetlab/real.py
+++ b/fleetlab/real.py
@@ -25,7 +25,7 @@
     the ingress was ready, or began to listen if it never was ready. The bytes are those handed to
     the system: if the ingress does not read a list to its end, they are more than it has read.
     Raise RuntimeError if the ingress exits before it listens, TimeoutError if it does not listen in
-    time, and MemoryLimitError if the machine's memory doesn't suffice.
+    time, and MemoryLimitError if the machine's memory does not suffice.
     """
     check_memory([], ESTIMATED_RUN_MB)
     async with start_environment(run) as environment:
--- a/fleetlab/real_session.py
+++ b/fleetlab/real_session.py
@@ -210,7 +210,7 @@
     """Return the latency that the ingress adds, in ms.
 
     Return None if the direct latency alone exceeds the plan's limit on the added latency: the added
-    part can't be distinguished then.
+    part cannot be distinguished then.
     """
     if p99_ms is None or direct_p99_ms is None or direct_p99_ms > MAX_ADDED_P99_MS:
         return None
--- a/fleetlab/results.py
+++ b/fleetlab/results.py
@@ -71,7 +71,7 @@
 
 
 def append_result(path: Path, result: Result) -> None:
-    """Append a result to a file as one line; raise OSError if it can't be written."""
+    """Append a result to a file as one line; raise OSError if it cannot be written."""
     append_line(path, result)
 
 
--- a/fleetlab/sweep.py
+++ b/fleetlab/sweep.py
@@ -129,7 +129,7 @@
     beyond a process without ingresses, control_cpu_percent of a core (without the batches of
     requests), control_bytes_per_s received from discovery and counter. A figure is None if it could
     not be measured, for example because no list was received. Raise MemoryLimitError if the
-    machine's memory doesn't suffice.
+    machine's memory does not suffice.
     """
     point = make_point(axis, size)
     check_memory([], point.estimated_mb)
--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -208,7 +208,7 @@
 def test_connection_that_becomes_silent_is_replaced_and_its_calls_are_lost() -> None:
     """Guards against calls on a silent connection that are not reported as lost.
 
-    Before the fix, each silence lasted 0.25 s, and amounts called during it were never counted.
+    Before the fix, each silence lasted 0.25 s, and amounts of calls during it were never counted.
     """
 
     async def reply_once(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
@@ -235,7 +235,10 @@
 
 
 def test_slow_counter_keeps_its_connection() -> None:
-    """If the late calls were reported as lost, their amounts would be added twice."""
+    """Guards against calls that are reported as lost and whose amounts are then added twice.
+
+    The counter adds the amounts, only late.
+    """
 
     async def reply_slowly(peer: Peer, call: bytes, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.06)
--- a/tests/support/disconnects.py
+++ b/tests/support/disconnects.py
@@ -90,7 +90,7 @@
 async def expect_attempt_only_if_client_stays(
     ingress: RunningIngress, how: str, attempts_before: int
 ) -> None:
-    """Check for one more attempt if the client stays, and otherwise for no further attempt.
+    """Check for one more attempt if the client stays connected, otherwise for no further one.
 
     The ingress must still serve other clients.
     """
